--- a/limeridge/facade.py
+++ b/limeridge/facade.py
@@ -63,7 +63,7 @@
     End.UNREACHED: Outcome.CONNECT_FAILED,
     End.BROKEN: Outcome.RESET,
     End.STOPPED: Outcome.CANCELLED,
-    End.NEVER_BEGAN: Outcome.MOOT,
+    End.NEVER_BEGAN: Outcome.NOT_STARTED,
 }
 
 
@@ -194,7 +194,7 @@
 
     def boot(self, cold: bool, ago: int) -> None:
         """The kernel came up `ago` microseconds ago: its speed grows from then on, not from our own start."""
-        self._tell(self.brain.booted, cold, self.now() - ago)
+        self._tell(self.brain.on_boot, cold, self.now() - ago)
         self._pull()
 
     def pick(self, intake: Intake) -> Deferred[Step]:
@@ -207,13 +207,13 @@
         self.serial += 1
         prior = self._prior(intake, now)
         try:
-            txn = self.brain.arrived(
+            txn = self.brain.on_txn_arrived(
                 now,
                 self.serial,
                 intake.product,
                 customer=intake.customer,
                 caller=intake.caller,
-                patience=intake.patience,
+                max_wait=intake.patience,
                 age=intake.age,
                 size_kb=intake.size_kb,
                 resent=intake.resent,
@@ -239,9 +239,9 @@
         now, txn = self.now(), entry.txn
         try:
             if isinstance(news, Blocked):
-                self.brain.needs_call(now, txn)
+                self.brain.on_call_needed(now, txn)
             elif isinstance(news, Called):
-                self.brain.call_ended(now, txn, OUTCOMES[news.end], news.spent)
+                self.brain.on_call_ended(now, txn, OUTCOMES[news.end], news.spent)
             else:
                 self._end(entry, news, now)
         except Exception as trouble:
@@ -261,7 +261,7 @@
         entry = self.by_ref.get(intake.ref)
         if entry is not None and not entry.answered and entry.intake is intake:
             entry.answered = True
-            self._tell(self.brain.caller_gone, entry.txn)
+            self._tell(self.brain.on_caller_gone, entry.txn)
             self.touched.append(entry)
             self._pull_soon()
 
@@ -272,7 +272,7 @@
         if entry is None or entry.intake is not intake:
             return Step(Do.DONE)
         self._final(entry, Answer(Kind.VOIDED, why=why))
-        self._tell(self.brain.caller_gone, entry.txn)
+        self._tell(self.brain.on_caller_gone, entry.txn)
         self.touched.append(entry)
         self._pull()
         return Step(Do.DONE if entry.txn.stage is Stage.OVER else Do.WAIT)
@@ -280,20 +280,20 @@
     def tick(self, now: int, gauges: Sequence[float] | None) -> None:
         """Moves time; `gauges` in the settings' order, None where none could be had."""
         told = dict(zip(self.gauges, gauges, strict=False)) if gauges else {}
-        self._tell(self.brain.woke, 1, told, now=now)
+        self._tell(self.brain.on_wake, 1, told, now=now)
         self._pull()
 
     def allow(self, calls: int) -> None:
         """Calls that may be in hand from now on, where the instance's share changes while it runs."""
         if calls != self.allowed:
             self.allowed = calls
-            self._tell(self.brain.share, calls)
+            self._tell(self.brain.set_call_share, calls)
 
     def revise(self, plain: Mapping[str, Any], quotas: Quotas | None) -> None:
         """Settings of another revision, with the same classes by number, and the quotas of its tenants: for
         what comes from now on. Raises what the brain raises, and then nothing is changed."""
         idle = int(plain.get("instance.idle", 0))
-        self.brain.revise(self.now(), dict(plain), quotas)
+        self.brain.update_settings(self.now(), dict(plain), quotas)
         if idle != int(self.plain.get("instance.idle", 0)):
             self.idle_limit = idle
         self.plain = dict(plain)
@@ -319,7 +319,7 @@
     def leave(self, budget: int, ago: int = 0) -> None:
         """The notice to leave, which came `ago` microseconds ago; the process is killed `budget` microseconds
         after it."""
-        self._tell(self.brain.leave, budget, ago)
+        self._tell(self.brain.start_drain, budget, ago)
         self._pull()
 
     def owed(self) -> int:
@@ -448,7 +448,7 @@
             self._final(entry, Answer(Kind.VOIDED, why=f"run {news.end.value}"))
             if news.end is End.NEVER_BEGAN and entry.intake.key:
                 self._forget(entry)
-        self.brain.ended(now, entry.txn, OUTCOMES[news.end], 0)
+        self.brain.on_run_ended(now, entry.txn, OUTCOMES[news.end], 0)
         self.ready_joins += entry.joined
         entry.joined = []
 
--- a/limeridge/histogram.py
+++ b/limeridge/histogram.py
@@ -13,29 +13,29 @@
         self.edges = edges
         self.counts = [0.0] * (len(edges) + 1)
         self.total, self.keep = 0.0, keep
-        self.known: dict[float, float] = {}  # since the last addition; asked far more often
+        self.quantile_cache: dict[float, float] = {}  # since the last addition; asked far more often
 
     def add(self, value: float) -> None:
         """Counts a value; at `keep` values all counts are halved, so that old ones fade."""
         self.counts[next((i for i, edge in enumerate(self.edges) if value <= edge), len(self.edges))] += 1
         self.total += 1
-        self.known.clear()
+        self.quantile_cache.clear()
         if self.total >= self.keep:
             self.counts = [count / 2 for count in self.counts]
             self.total /= 2
 
     def quantile(self, q: float) -> float:
         """Even spread within a bin; the last bin is taken to end at twice the last edge. 0 where empty."""
-        if q not in self.known:
-            self.known[q] = self._quantile(q)
-        return self.known[q]
+        if q not in self.quantile_cache:
+            self.quantile_cache[q] = self._compute_quantile(q)
+        return self.quantile_cache[q]
 
-    def _quantile(self, q: float) -> float:
-        seen, below = 0.0, 0.0
+    def _compute_quantile(self, q: float) -> float:
+        seen, lower = 0.0, 0.0
         for count, edge in zip(self.counts, (*self.edges, 2 * self.edges[-1]), strict=True):
             if count and seen + count >= q * self.total:
-                return below + (edge - below) * (q * self.total - seen) / count
-            seen, below = seen + count, edge
+                return lower + (edge - lower) * (q * self.total - seen) / count
+            seen, lower = seen + count, edge
         return 0.0
 
     def rescale(self, factor: float) -> None:
@@ -44,15 +44,15 @@
         counts = [0.0] * len(self.counts)
         for count, (low, high) in zip(self.counts, pairwise(bounds), strict=True):
             if count:
-                for place, share in self._shares(low * factor, high * factor):
-                    counts[place] += count * share
+                for index, share in self._overlaps(low * factor, high * factor):
+                    counts[index] += count * share
         self.counts = counts
-        self.known.clear()
+        self.quantile_cache.clear()
 
-    def _shares(self, low: float, high: float) -> Iterator[tuple[int, float]]:
+    def _overlaps(self, low: float, high: float) -> Iterator[tuple[int, float]]:
         """The bins that a span reaches into, with the part of it in each; the last bin has no end."""
         bounds = (0.0, *self.edges, float("inf"))
-        for place, (begin, end) in enumerate(pairwise(bounds)):
-            inside = min(high, end) - max(low, begin)
-            if inside > 0:
-                yield place, inside / (high - low)
+        for index, (begin, end) in enumerate(pairwise(bounds)):
+            overlap = min(high, end) - max(low, begin)
+            if overlap > 0:
+                yield index, overlap / (high - low)
--- a/limeridge/interface.py
+++ b/limeridge/interface.py
@@ -39,7 +39,7 @@
     CONNECT_FAILED = 4
     RESET = 5
     CANCELLED = 6
-    MOOT = 7
+    NOT_STARTED = 7
 
 
 class Stage(IntEnum):
@@ -66,8 +66,8 @@
     value: float
     late_value: float
     skip_value: float  # share of the value without the call; 0: never left out
-    calls: bool  # whether its runs may call
-    halts: bool  # whether a run can be stopped for nothing lost
+    may_call: bool  # whether its runs may call
+    can_halt: bool  # whether a run can be stopped for nothing lost
 
 
 @dataclass(slots=True, eq=False)
@@ -79,8 +79,8 @@
     customer: int
     caller: int
     size_kb: float
-    arrived: int  # at the machine
-    read: int  # into the hold
+    arrived_at: int  # at the machine
+    read_at: int  # into the hold
     due: int
     sla_due: int
     terms: ClassTerms  # those under which it arrived, up to its answer
@@ -88,7 +88,7 @@
     prior: Txn | None = None
     repeat: bool = False
     effort: int = 0  # work expected, as time on a standard core; 0 where it is not told
-    heir: Txn | None = None  # the repeat that took the place of this one, which never ran
+    replaced_by: Txn | None = None  # the repeat that took the place of this one, which never ran
     stage: Stage = Stage.HELD
     answered: bool = False
     ran: bool = False
@@ -96,14 +96,14 @@
     over_share: bool = False
     kept: bool = False
     remembered_until: int = 0  # a repeat may still point here until then
-    started: int = 0
+    started_at: int = 0
     approach: int = 0
-    left_out: int = 0
+    skipped_calls: int = 0
     calls_made: int = 0
-    since: int = 0  # in this stage
+    stage_since: int = 0  # in this stage
     core_time: int = 0  # on the cores in earlier stretches, disk waits included
-    failed_as: Outcome | None = None
-    may_repeat_call: bool = True
+    call_failure: Outcome | None = None
+    may_retry_call: bool = True
 
 
 @dataclass(slots=True)
--- a/limeridge/scale/target.py
+++ b/limeridge/scale/target.py
@@ -192,7 +192,7 @@
 
 # ---- how callers spread over instances
 
-IDLE_MOST = seconds(15)  # as the longest of `limeridge.brain.IDLE_LIMITS`; a test compares them
+IDLE_MOST = seconds(15)  # as the longest of `limeridge.brain.IDLE_LIMITS_US`; a test compares them
 CONNECTIONS_OF_A_CALLER = Quantity(20, CONNECTION / CALLER)  # assumed: callers keep to a subset of instances
 LEAST_CONNECTIONS_OF_A_CALLER = Quantity(1, CONNECTION / CALLER)
 
--- a/limeridge/sim/world.py
+++ b/limeridge/sim/world.py
@@ -1006,7 +1006,7 @@
         instance = machine.instance
         if instance is None:
             return ""
-        facade, books = instance.facade, instance.facade.brain.books
+        facade, registry = instance.facade, instance.facade.brain.registry
         counts = {
             "jobs": len(instance.jobs),
             "open txns": len(facade.open),
@@ -1018,8 +1018,8 @@
             "waiting calls": sum(not call.over for call in instance.ledger.waiting),
             "bytes held": instance.callers.held,
             "bytes unread": instance.callers.unread,
-            "runs": books.in_runs(),
-            "calls in hand": len(facade.brain.calls.out),
+            "runs": registry.active_runs(),
+            "calls in hand": len(facade.brain.calls.pending),
             "connections no caller has": sum(
                 each.transport.other.closed for each in instance.callers.connections
             ),
--- a/limeridge/simhost/__main__.py
+++ b/limeridge/simhost/__main__.py
@@ -28,13 +28,13 @@
         if kind == "submit":
             prior = int(fields.get("prior") or 0)
             job = int(fields["job"])
-            self.txns[job] = brain.arrived(
+            self.txns[job] = brain.on_txn_arrived(
                 now,
                 job,
                 int(fields["service"]),
                 customer=int(fields.get("account") or 0),
                 caller=int(fields.get("srcPeer") or 0),
-                patience=int(fields.get("budget") or 0),
+                max_wait=int(fields.get("budget") or 0),
                 age=int(fields.get("age") or 0),
                 size_kb=float(fields.get("sizeKb") or 0),
                 resent=fields.get("resent") in ("1", "true"),
@@ -50,25 +50,25 @@
                 }
         elif kind == "elapsed":
             gauges = (pair.partition(":") for pair in fields.get("gauge", "").split(",") if pair)
-            brain.woke(
+            brain.on_wake(
                 now,
                 int(fields.get("ref") or 0),
                 {GAUGES[name]: float(value) for name, _, value in gauges if name in GAUGES},
             )
         elif kind == "terminate_soon":
-            brain.leave(now, int(fields["budget"]))
+            brain.start_drain(now, int(fields["budget"]))
         elif kind in ("completed", "downstream", "blocked", "dropped"):
             txn = self.txns.get(int(fields["job"]))
             if txn is None:
                 return
             if kind == "completed":
-                brain.ended(now, txn, Outcome(int(fields["status"])), int(fields.get("spent") or 0))
+                brain.on_run_ended(now, txn, Outcome(int(fields["status"])), int(fields.get("spent") or 0))
             elif kind == "downstream":
-                brain.call_ended(now, txn, Outcome(int(fields["status"])), int(fields.get("spent") or 0))
+                brain.on_call_ended(now, txn, Outcome(int(fields["status"])), int(fields.get("spent") or 0))
             elif kind == "blocked":
-                brain.needs_call(now, txn)
+                brain.on_call_needed(now, txn)
             else:
-                brain.caller_gone(now, txn)
+                brain.on_caller_gone(now, txn)
 
     def replies(self) -> Iterator[str]:
         while (decision := self.brain.decide()) is not None:
--- a/limeridge/trial/soak_defects.py
+++ b/limeridge/trial/soak_defects.py
@@ -58,8 +58,8 @@
     Mutant(
         "grace-ignored",
         BRAIN,
-        "        if self.leave_at is not None and landed > self.leave_at",
-        "        if False and self.leave_at is not None and landed > self.leave_at",
+        "        if self.drain_at is not None and arrived > self.drain_at",
+        "        if False and self.drain_at is not None and arrived > self.drain_at",
         "requests run that come after the grace",
     ),
     Mutant(
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -97,8 +97,8 @@
         if prior is None and key:
             prior = self.round.get(key)  # two read in one round see each other, kept or not
         ref = len(self.txns) + 1
-        told = {"patience": 3_000_000, "size_kb": 20.0, "prior": prior, "repeat": prior is not None} | more
-        txn = self.brain.arrived(self.now, ref, product, age=age, **told)
+        told = {"max_wait": 3_000_000, "size_kb": 20.0, "prior": prior, "repeat": prior is not None} | more
+        txn = self.brain.on_txn_arrived(self.now, ref, product, age=age, **told)
         self.keys[ref] = key or f"own-{ref}"
         self.txns.append(txn)
         self.round[key] = txn
@@ -115,7 +115,7 @@
         return txns
 
     def needs(self, txn: Txn) -> None:
-        self.brain.needs_call(self.now, txn)
+        self.brain.on_call_needed(self.now, txn)
 
     def block(self, txn: Txn) -> list[Decision]:
         self.needs(txn)
@@ -124,16 +124,18 @@
     def finish(self, txn: Txn, outcome: Outcome = Outcome.OK) -> None:
         joined = txn.stage == Stage.JOINED
         self.end_call(txn)
-        self.brain.ended(self.now, txn, outcome, self.now - (txn.arrived if joined else txn.started))
+        self.brain.on_run_ended(
+            self.now, txn, outcome, self.now - (txn.arrived_at if joined else txn.started_at)
+        )
         if outcome in (Outcome.OK, Outcome.ERROR):
             self.answers.setdefault(txn.ref, outcome)
 
     def go(self, txn: Txn) -> None:
         self.gone.add(txn.ref)
-        self.brain.caller_gone(self.now, txn)
+        self.brain.on_caller_gone(self.now, txn)
 
     def leave(self, budget: int) -> None:
-        self.brain.leave(self.now, budget)
+        self.brain.start_drain(self.now, budget)
 
     def end_call(self, txn: Txn, lingers: bool = False) -> None:
         if txn.ref in self.calls:
@@ -143,7 +145,7 @@
     def call_ends(self, txn: Txn, outcome: Outcome) -> None:
         self.end_call(txn, lingers=outcome == Outcome.TIMEOUT)
         self.last_call[txn.ref] = outcome
-        self.brain.call_ended(self.now, txn, outcome, self.now - txn.since)
+        self.brain.on_call_ended(self.now, txn, outcome, self.now - txn.stage_since)
 
     def pass_time(self, us: int, busy: float = 0.5, runnable: float = 1.0) -> None:
         until = self.now + us
@@ -154,7 +156,7 @@
             if self.now in self.wakes:
                 self.wakes.remove(self.now)
                 told = True
-                self.brain.woke(self.now, 1, {"busy": busy, "runnable": runnable})
+                self.brain.on_wake(self.now, 1, {"busy": busy, "runnable": runnable})
             for end, ref in out:
                 if end <= self.now:
                     told = True
@@ -193,12 +195,14 @@
         window = self.settings[f"products.{txn.product}.window"]
         if verb == Verb.RUN:
             runs = self.ran.setdefault(key, [])
-            assert not careful or all(txn.arrived >= landed + window for landed in runs), "duplicate"
-            assert self.left is None or txn.arrived <= self.left + self.settings["rules.drain_grace"], "drain"
-            runs.append(txn.arrived)
+            assert not careful or all(txn.arrived_at >= landed + window for landed in runs), "duplicate"
+            assert self.left is None or txn.arrived_at <= self.left + self.settings["rules.drain_grace"], (
+                "drain"
+            )
+            runs.append(txn.arrived_at)
         elif verb in (Verb.DECLINE, Verb.VOID):
             assert txn.ref not in self.answers, "two answers"
-            ran = any(txn.arrived < landed + window for landed in self.ran.get(key, []))
+            ran = any(txn.arrived_at < landed + window for landed in self.ran.get(key, []))
             assert verb == Verb.VOID or not careful or not ran, "declined after it ran"
             self.answers[txn.ref] = verb
         elif verb == Verb.CALL:
@@ -274,7 +278,7 @@
         self.brain, self.steps, self.told = self.facade.brain, {}, {}
         self.intakes: dict[int, Intake] = {}
         self.figures = (0.5, 1.0)
-        carry_out, arrived = self.facade._carry_out, self.brain.arrived
+        carry_out, arrived = self.facade._carry_out, self.brain.on_txn_arrived
 
         def both(decision: Decision) -> None:
             self.apply(decision)
@@ -285,7 +289,7 @@
             self.txns.append(txn)
             return txn
 
-        self.facade._carry_out, self.brain.arrived = both, noted  # type: ignore[method-assign]
+        self.facade._carry_out, self.brain.on_txn_arrived = both, noted  # type: ignore[method-assign]
 
     def woken(self) -> None:
         self.now = self.facade.now()
@@ -293,7 +297,7 @@
 
     def read(self, product: int = 0, key: str = "", age: int = 0, **more: Any) -> Txn:
         ref = self.facade.serial + 1
-        told = {"patience": 3_000_000, "size_kb": 20.0, "caller": 0, "resent": False} | more
+        told = {"max_wait": 3_000_000, "size_kb": 20.0, "caller": 0, "resent": False} | more
         self.keys[ref] = key or f"own-{ref}"
         self.intakes[ref] = Intake(
             f"{ref:016x}",
@@ -302,7 +306,7 @@
             0,
             told["caller"],
             age,
-            told["patience"],
+            told["max_wait"],
             told["size_kb"],
             f"body {key or ref}",
             lambda answer: self.hear(ref, answer),
@@ -345,7 +349,7 @@
     def call_ends(self, txn: Txn, outcome: Outcome) -> None:
         self.end_call(txn, lingers=outcome == Outcome.TIMEOUT)
         self.last_call[txn.ref] = outcome
-        spent = self.facade.now() - txn.since
+        spent = self.facade.now() - txn.stage_since
         self.report(txn, Called({v: k for k, v in OUTCOMES.items()}[outcome], spent))
 
     def go(self, txn: Txn) -> None:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -13,7 +13,7 @@
 import pytest
 from click.testing import CliRunner
 
-from limeridge.brain import IDLE_LIMITS
+from limeridge.brain import IDLE_LIMITS_US
 from limeridge.cli.capacity import OPTIONS, PAGE, RESULTS_FOLDER, plan, report
 from limeridge.scale import evidence as evidence_module
 from limeridge.scale.assumptions import ADDED_TIME
@@ -232,7 +232,7 @@
     counted = counted_reading(USERS_TARGET)
     assert counted.callers.value == 36_000 * 610
     assert not counted.outlives_gaps and counted.connections.value == pytest.approx(420_000 / 3_400 * 15)
-    assert microseconds(max(IDLE_LIMITS)) == IDLE_MOST
+    assert microseconds(max(IDLE_LIMITS_US)) == IDLE_MOST
 
 
 # ---- quantities
--- a/tests/test_configuration_live.py
+++ b/tests/test_configuration_live.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from limeridge.brain import TARGET
+from limeridge.brain import HOLD_TARGET
 from limeridge.config import SETTINGS, Setup, Unusable, reading, setup_of
 from limeridge.configuration.application import FIXED_FOR_MEMBERS, LIVE_SETTINGS, revised
 from limeridge.configuration.names import NameTableEditor
@@ -46,18 +46,18 @@
 def revise(host: Host, **changes: object) -> None:
     new = host.settings | {name.replace("__", "."): value for name, value in changes.items()}
     host.settings = new
-    host.brain.revise(host.now, new)
+    host.brain.update_settings(host.now, new)
 
 
 def test_a_request_keeps_the_terms_it_arrived_under_and_the_next_gets_the_new() -> None:
     host = Host(instance__passes_expiry=False)
-    before = host.read(patience=0)
+    before = host.read(max_wait=0)
     revise(host, products__0__sla_time=100_000, products__0__expiry=200_000, products__0__value=9.0)
-    after = host.read(patience=0)
-    assert (before.due - before.arrived, before.sla_due - before.arrived) == (4_000_000, 1_000_000)
-    assert (after.due - after.arrived, after.sla_due - after.arrived) == (200_000, 100_000)
-    assert (before.terms.value, before.terms.target) == (1.0, int(TARGET * 1_000_000))
-    assert (after.terms.value, after.terms.target) == (9.0, int(TARGET * 100_000))
+    after = host.read(max_wait=0)
+    assert (before.due - before.arrived_at, before.sla_due - before.arrived_at) == (4_000_000, 1_000_000)
+    assert (after.due - after.arrived_at, after.sla_due - after.arrived_at) == (200_000, 100_000)
+    assert (before.terms.value, before.terms.target) == (1.0, int(HOLD_TARGET * 1_000_000))
+    assert (after.terms.value, after.terms.target) == (9.0, int(HOLD_TARGET * 100_000))
 
 
 def test_a_held_request_is_judged_by_the_hold_target_of_its_own_revision() -> None:
@@ -77,13 +77,13 @@
         host.finish(txn)
         host.pull()
     product = host.brain.products[0]
-    costs, cap = list(product.ladder[0].costs), host.brain.call_cap
-    usual, work = product.run_times.quantile(0.5) * 1_000_000, product.work()
+    costs, cap = list(product.ladder[0].costs), host.brain.call_bound
+    usual, work = product.run_times.quantile(0.5) * 1_000_000, product.typical_core_seconds()
     revise(host, products__0__sla_time=2_000_000, instance__skip_values=[0.0])
-    assert list(product.ladder[0].costs) == costs and host.brain.call_cap == cap
+    assert list(product.ladder[0].costs) == costs and host.brain.call_bound == cap
     assert product.ladder[0].cost > 0 and len(product.ladder) == 2
     assert abs(product.run_times.quantile(0.5) * 2_000_000 - usual) < 0.3 * usual
-    assert abs(product.work() - work) < 0.3 * work
+    assert abs(product.typical_core_seconds() - work) < 0.3 * work
 
 
 def test_rescaled_counts_are_neither_lost_nor_made() -> None:
@@ -123,10 +123,10 @@
 def test_bounds_of_calls_follow_the_share_unless_it_is_dealt_out() -> None:
     host = Host()
     revise(host, instance__calls_out=10.0)
-    assert host.brain.call_most == 9.0 and host.brain.call_cap <= 9.0
-    host.brain.share(host.now, 3)
+    assert host.brain.max_call_bound == 9.0 and host.brain.call_bound <= 9.0
+    host.brain.set_call_share(host.now, 3)
     revise(host, instance__calls_out=20.0)
-    assert host.brain.call_most == 3.0
+    assert host.brain.max_call_bound == 3.0
 
 
 # ---- the reading
@@ -312,7 +312,7 @@
     assert net.instance.facade.skews[0] == 4_000_000, "it may have been read as late as that"
     assert not net.instance.skips[0]
     [entry] = net.instance.facade.open.values()
-    assert entry.txn.terms.expiry == 4_000_000 and entry.txn.due - entry.txn.arrived == 3_000_000
+    assert entry.txn.terms.expiry == 4_000_000 and entry.txn.due - entry.txn.arrived_at == 3_000_000
     net.pass_time(0.5)  # past the new deadline
     assert net.answers(caller) == [] and net.commands()[0]["handle"] == ref
     net.tell(event="IOREQ", cursor=None, handle=ref, arg="Y2FsbA==")
@@ -376,10 +376,10 @@
         end_run(net, ref)
     brain = net.instance.facade.brain
     look = brain.products[0]
-    costs, cap, usual = list(look.ladder[0].costs), brain.call_cap, look.run_times.quantile(0.5)
+    costs, cap, usual = list(look.ladder[0].costs), brain.call_bound, look.run_times.quantile(0.5)
     reload(net, classes__0__aim=2_000_000, classes__0__worth=5.0, familyInfo__classSkipWorth=[0.0, 0.25])
     assert brain.products[0] is look and (look.terms.sla_time, look.terms.value) == (2_000_000, 5.0)
-    assert list(look.ladder[0].costs) == costs and brain.call_cap == cap and costs
+    assert list(look.ladder[0].costs) == costs and brain.call_bound == cap and costs
     assert abs(2 * look.run_times.quantile(0.5) - usual) < 0.5 * usual
     assert [product.terms.skip_value for product in brain.products] == [0.0, 0.25]
     assert net.instance.skips == [False, True]
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -400,7 +400,7 @@
     net.tell(event="INFO", ticket="fence", figures=[0, 0, 0, 0])
     assert [c["handle"] for c in net.commands() if c["event"] == "SCHED"] == [ref]
     brain = net.instance.facade.brain
-    assert brain._crowd() < 0.6 * (net.instance.setup.plain["rules.overload_factor"] * brain.cores)  # type: ignore[operator]
+    assert brain._max_concurrency() < 0.6 * (net.instance.setup.plain["rules.overload_factor"] * brain.cores)  # type: ignore[operator]
     net.tell(event="REAP", cursor=None, handle=ref, fate="ok", lasted=5, arg="eA==")
     [answer] = net.answers(early)
     assert answer["result"]["doc"] == "eA==" and answer["result"]["v"] < 0.5
@@ -995,5 +995,5 @@
     stop = SAMPLE["stop_ms"] / 1_000
     assert instance.kill_at == pytest.approx(signalled + stop)
     brain = instance.facade.brain
-    assert brain.leave_at == pytest.approx(signalled * 1e6, abs=10)
+    assert brain.drain_at == pytest.approx(signalled * 1e6, abs=10)
     assert brain.stop_at == pytest.approx((signalled + stop) * 1e6, abs=10)
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -95,7 +95,7 @@
             spans += life.spans
             seed += 1
             life = Life(plain | {"instance.cold": True}, now + REBORN, seed, linger)
-        if now >= life.brain.started:
+        if now >= life.brain.started_at:
             life.turn(now, work, chance)
     life.die(last)
     return in_windows([*spans, *life.spans], window, STEP, last)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -171,10 +171,10 @@
     net, members = booted(), Members()
     instance = net.instance
     instance.join(members)
-    assert instance.facade.brain.call_most == 3 and instance.ledger.gate is members.gate
+    assert instance.facade.brain.max_call_bound == 3 and instance.ledger.gate is members.gate
     members.calls = 1
     net.pass_time(0.2)
-    assert instance.facade.brain.call_most == 1
+    assert instance.facade.brain.max_call_bound == 1
     instance.leave()
     assert members.heard == ["leave"]
     net.pass_time(4.0)
@@ -525,7 +525,7 @@
     broken, brain._run_held = brain._run_held, lambda: iter([1 / 0])  # type: ignore[assignment, method-assign]
     net.ask(other, 1)
     net.reactor.advance(0)
-    brain.caller_gone = lambda *_: 1 / 0  # type: ignore[assignment, method-assign]
+    brain.on_caller_gone = lambda *_: 1 / 0  # type: ignore[assignment, method-assign]
     net.lose(caller)
     assert net.log.codes("brain-fault") and not net.answers(other)
     brain._run_held = broken  # type: ignore[method-assign]
@@ -582,7 +582,7 @@
     net = booted()
     caller = net.caller()
     net.ask(caller, 1)
-    net.instance.facade.brain.books.dues.clear()
+    net.instance.facade.brain.registry.due_heap.clear()
     net.pass_time(3.5)
     assert error(net.answers(caller))["message"] == "overdue" and net.log.codes("overdue") == ["guard"]
 
--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -6,7 +6,7 @@
 
 from helpers import Host
 
-from limeridge.brain import WINDOW
+from limeridge.brain import COST_WINDOW
 from limeridge.interface import Decision, Outcome, Stage, Txn, Verb
 
 
@@ -32,8 +32,8 @@
     product = host.brain.products[0]
     run_one(host, 900_000, call=700_000)
     assert not product.ladder[0].active
-    assert product.choose(strained=False, now=host.now) == 0  # without strain the full run
-    assert product.choose(strained=True, now=host.now) == 1
+    assert product.select_approach(strained=False, now=host.now) == 0  # without strain the full run
+    assert product.select_approach(strained=True, now=host.now) == 1
     txn = host.take()
     txn.approach = 1
     host.pass_time(100_000)
@@ -43,10 +43,10 @@
 
 def test_the_cheapest_approach_stays_active_and_one_slow_run_counts_for_a_window() -> None:
     host = Host(instance__skip_values=[0.0])
-    for _ in range(WINDOW):
+    for _ in range(COST_WINDOW):
         run_one(host, 900_000)
     assert [a.active for a in host.brain.products[0].ladder] == [True]
-    for _ in range(WINDOW - 1):
+    for _ in range(COST_WINDOW - 1):
         run_one(host, 50_000)
     assert host.brain.products[0].ladder[0].cost == 900_000
     run_one(host, 50_000)
@@ -57,7 +57,7 @@
     host = Host()
     for _ in range(5):
         run_one(host, 900_000, call=30_000)
-    assert host.brain.products[0].choose(strained=True, now=host.now) == 0
+    assert host.brain.products[0].select_approach(strained=True, now=host.now) == 0
 
 
 def test_the_cap_starts_at_the_cores_and_grows_while_cores_are_free() -> None:
@@ -81,14 +81,14 @@
 def test_an_ordinary_try_is_not_taken_for_an_old_one() -> None:
     # Guards against: tries of the usual patience judged past their SLA time, and declined by free cores.
     host = Host()
-    *_, fresh = [host.read(patience=2_000_000, caller=1) for _ in range(6)]
-    last = host.read(patience=2_700_000, caller=1)
-    assert fresh.sla_due == fresh.arrived + 1_000_000 and last.sla_due < host.now
+    *_, fresh = [host.read(max_wait=2_000_000, caller=1) for _ in range(6)]
+    last = host.read(max_wait=2_700_000, caller=1)
+    assert fresh.sla_due == fresh.arrived_at + 1_000_000 and last.sla_due < host.now
 
 
 def test_running_work_is_answered_when_due() -> None:
     host = Host()
-    txn = host.take(patience=500_000)
+    txn = host.take(max_wait=500_000)
     host.pass_time(600_000)
     assert txn.ran and host.answers[txn.ref] == Verb.DECLINE
 
@@ -139,7 +139,7 @@
     host = Host()
     running = host.take()
     host.left = host.now
-    host.brain.leave(host.now, 1_000_000)
+    host.brain.start_drain(host.now, 1_000_000)
     host.pass_time(400_000)
     assert verbs(host.seen, host.take()) == [Verb.DECLINE]
     host.pass_time(450_000)
@@ -214,22 +214,22 @@
     for _ in range(12):
         host.take()
     host.pass_time(1_000_000, busy=1.0, runnable=4)
-    low = host.brain.welcome
+    low = host.brain.advertised_capacity
     assert low < 0.9
     for txn in host.at(Stage.RUNNING):
         host.finish(txn)
     host.take()
     host.pass_time(2_000_000, busy=0.2, runnable=1)
-    assert host.brain.welcome > 2 * low or host.brain.welcome == 1.0
+    assert host.brain.advertised_capacity > 2 * low or host.brain.advertised_capacity == 1.0
 
 
 def test_a_line_of_unread_txns_lowers_the_welcome() -> None:
     # Guards against: a line at the door, where no decline and no hold shows it.
     host = Host(instance__say="allowance")
-    before = host.brain.welcome
+    before = host.brain.advertised_capacity
     host.take(age=400_000)
     host.pass_time(300_000, busy=1.0, runnable=2)
-    assert host.brain.welcome < before
+    assert host.brain.advertised_capacity < before
 
 
 def test_first_tries_go_before_later_ones() -> None:
@@ -245,7 +245,7 @@
     # Guards against: cheap optional calls crowding out dear ones while the ledger is slow.
     host = Host(**TWO)
     cheap, dear = host.read(), host.take(product=1)
-    host.brain.needs_call(host.now, cheap)
+    host.brain.on_call_needed(host.now, cheap)
     host.block(dear)
     assert (cheap.stage, dear.stage) == (Stage.PARKED, Stage.CALLING)
 
@@ -286,13 +286,13 @@
     # Guards against: idle servers that say "stay away" since dead ones made their callers' tries late.
     host = Host(instance__say="weight", clients__marks_resent=True)
     for _ in range(5):
-        host.finish(host.read(patience=2_000_000, caller=1))
+        host.finish(host.read(max_wait=2_000_000, caller=1))
     host.pull()
-    old = host.take(patience=1_900_000, caller=1, resent=True)
+    old = host.take(max_wait=1_900_000, caller=1, resent=True)
     decision = next(d for d in host.seen if d.txn is old)
     assert (decision.verb, decision.flag) == (Verb.DECLINE, True)
     host.pass_time(400_000)
-    assert host.brain.welcome == 1.0
+    assert host.brain.advertised_capacity == 1.0
 
 
 def test_first_tries_are_sent_elsewhere_until_later_ones_show_that_all_are_full() -> None:
@@ -301,7 +301,7 @@
         host = Host(clients__marks_resent=True)
         for _ in range(12):
             host.take(resent=resent)
-        host.brain.welcome = 0.1
+        host.brain.advertised_capacity = 0.1
         host.pass_time(400_000, busy=1.0, runnable=4)
         assert {d.flag for d in host.seen if d.verb == Verb.DECLINE} == {resent}
 
@@ -328,7 +328,7 @@
     host = Host()
     txn = host.take()
     host.brain.products[0].ladder[0].active = False
-    host.brain.needs_call(host.now, txn)
+    host.brain.on_call_needed(host.now, txn)
     assert verbs(host.pull(), txn) == [Verb.CALL]
     host.call_ends(txn, Outcome.ERROR)
     assert verbs(host.pull(), txn) == [Verb.SKIP]
@@ -338,7 +338,7 @@
 def test_advice_to_come_back_is_spread() -> None:
     # Guards against: callers that all come back at once, and cores idle until then.
     host = Host()
-    host.brain.welcome = 0.1
+    host.brain.advertised_capacity = 0.1
     for _ in range(12):
         host.take()
     host.pass_time(400_000, busy=1.0, runnable=4)
@@ -397,14 +397,14 @@
 def test_the_bound_on_calls_grows_only_while_it_binds() -> None:
     # Guards against: a crowd let in below before its slowness shows.
     host = Host(instance__skip_values=[0.0], instance__calls_out=5.0, instance__cores=4)
-    least = host.brain.call_cap
+    least = host.brain.call_bound
     for together in (1, 1, 4, 4):
         txns = [host.take() for _ in range(together)]
         for txn in txns:
             host.block(txn)
         for txn in txns:
             host.finish(txn) if txn.stage != Stage.CALLING else host.call_ends(txn, Outcome.OK)
-        assert (host.brain.call_cap > least) == (together > 1)
+        assert (host.brain.call_bound > least) == (together > 1)
 
 
 def test_a_txn_is_judged_by_the_hint_of_its_work() -> None:
@@ -465,7 +465,7 @@
             host.call_ends(txn, Outcome.OK)
             host.finish(txn)
             host.pull()
-        bound = host.brain.call_cap = 20.0
+        bound = host.brain.call_bound = 20.0
         txn = host.take()
         [call] = [d for d in host.block(txn) if d.verb == Verb.CALL]
         assert call.us <= 300_000  # of a second: time is left
@@ -479,7 +479,7 @@
         host.seen.clear()
         host.pass_time(300_000)
         assert [d.verb for d in host.seen if d.txn is txn] == [Verb.CALL if overtaken else Verb.SKIP]
-        assert (host.brain.call_cap == bound) == overtaken  # if not, the ledger may be slow
+        assert (host.brain.call_bound == bound) == overtaken  # if not, the ledger may be slow
 
 
 def test_the_value_goes_to_nothing_once_half_of_the_grace_is_over() -> None:
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -24,7 +24,7 @@
 from hypothesis import strategies as st
 from loopback import CallerEnd, Far, KernelEnd, address, bound, free_address
 
-from limeridge.brain import HEEDED, Brain
+from limeridge.brain import DEFAULT_HEED_TIME_US, Brain
 from limeridge.interface import Decision, Outcome, Stage, Txn, Verb
 
 WINDOW, LINGER, STEP = 5_000_000, 200_000, 20_000
@@ -54,9 +54,9 @@
                 self.end(ref, now, Outcome.OK if now < until_ else Outcome.TIMEOUT)
         while sum(txn.stage is not Stage.OVER for txn in self.open.values()) < 6:
             self.serial += 1
-            txn = self.brain.arrived(now, self.serial, 0, patience=2_000_000, size_kb=1.0)
+            txn = self.brain.on_txn_arrived(now, self.serial, 0, max_wait=2_000_000, size_kb=1.0)
             self.open[self.serial] = txn
-        self.brain.woke(now, 1, {"busy": 0.3, "runnable": 1.0})
+        self.brain.on_wake(now, 1, {"busy": 0.3, "runnable": 1.0})
         self.pull(now)
         self.open = {ref: txn for ref, txn in self.open.items() if txn.stage is not Stage.OVER}
 
@@ -69,21 +69,21 @@
         if txn is None:
             return
         if decision.verb is Verb.RUN:
-            self.brain.needs_call(now, txn)
+            self.brain.on_call_needed(now, txn)
         elif decision.verb is Verb.CALL:
             self.out[txn.ref] = now, now + decision.us
         elif decision.verb in (Verb.DECLINE, Verb.VOID) and txn.ran:
             if txn.ref in self.out:
                 self.end(txn.ref, now, None)
-            self.brain.ended(now, txn, Outcome.CANCELLED, 0)
+            self.brain.on_run_ended(now, txn, Outcome.CANCELLED, 0)
 
     def end(self, ref: int, now: int, outcome: Outcome | None) -> None:
         begun, _ = self.out.pop(ref)
         self.spans.append((begun, now if outcome is Outcome.OK else now + self.linger))
         if outcome is not None and ref in self.open:
-            self.brain.call_ended(now, self.open[ref], outcome, now - begun)
+            self.brain.on_call_ended(now, self.open[ref], outcome, now - begun)
             if outcome is Outcome.OK:
-                self.brain.ended(now, self.open[ref], Outcome.OK, 0)
+                self.brain.on_run_ended(now, self.open[ref], Outcome.OK, 0)
 
     def die(self, now: int) -> None:
         for ref in list(self.out):
@@ -136,7 +136,7 @@
                 life.die(now)
                 gone.append(life)
                 lives[number] = life = Life(plain, now + 300_000, seed + count + number)
-            if now >= life.brain.started:
+            if now >= life.brain.started_at:
                 life.turn(now, work, chance)
     spans = [span for life in (*gone, *lives) for span in life.spans]
     spans += [(begun, last) for life in lives for begun, _ in life.out.values()]
@@ -180,15 +180,15 @@
         while ends and ends[0][0] <= now:
             _, _, caller, txn = heapq.heappop(ends)
             if txn.stage is not Stage.OVER:
-                brain.ended(now, txn, Outcome.OK, 0)
+                brain.on_run_ended(now, txn, Outcome.OK, 0)
                 answered(told, out, caller, txn, said, now, chance)
         for caller in range(count):
             may = told.get(caller, (0, 0))[0] if caller in told else int(now >= first[caller])
             while len(out[caller]) < may:  # one that was told nothing yet asks once
                 serial += 1
-                txn = brain.arrived(now, serial, 0, caller=caller, patience=3_000_000, size_kb=1.0)
+                txn = brain.on_txn_arrived(now, serial, 0, caller=caller, max_wait=3_000_000, size_kb=1.0)
                 out[caller].append(txn)
-        brain.woke(now, 1, {"busy": 0.5, "runnable": 1.0})
+        brain.on_wake(now, 1, {"busy": 0.5, "runnable": 1.0})
         while (decision := brain.decide()) is not None:
             if decision.verb is Verb.PUBLISH:
                 said = decision.level
@@ -198,7 +198,9 @@
             elif decision.txn is not None and decision.verb is Verb.DECLINE:
                 answered(told, out, decision.txn.caller, decision.txn, said, now, chance)
         held = sum(len(txns) for caller, txns in out.items() if caller in told)
-        if now > HEEDED:  # who turns up later than the settings knew was told, and holds to it, by then
+        if (
+            now > DEFAULT_HEED_TIME_US
+        ):  # who turns up later than the settings knew was told, and holds to it, by then
             crowd = (1 + (survived - 1) * min(1.0, start + (1 - start) * now / RAMP)) * cores
             assert held <= most(crowd), f"{held} of {crowd:.1f} at {now}"
 
@@ -232,12 +234,12 @@
     for now in range(0, RAMP + 1_000_000, 50_000):
         for txn in running:
             if txn.stage is Stage.RUNNING:
-                brain.ended(now, txn, Outcome.OK, 0)
+                brain.on_run_ended(now, txn, Outcome.OK, 0)
         running.clear()
         for _ in range(chance.choice([0, 0, 1, 4])):
             serial += 1
-            brain.arrived(now, serial, 0, patience=400_000, size_kb=1.0)
-        brain.woke(now, 1, {"busy": chance.random(), "runnable": 1.0})
+            brain.on_txn_arrived(now, serial, 0, max_wait=400_000, size_kb=1.0)
+        brain.on_wake(now, 1, {"busy": chance.random(), "runnable": 1.0})
         while (decision := brain.decide()) is not None:
             if decision.verb is Verb.PUBLISH:
                 part = decision.level if say == "weight" else 1 - decision.level
@@ -245,19 +247,19 @@
                 assert part <= min(1.0, start + (1 - start) * now / RAMP) + 0.011
             elif decision.verb is Verb.RUN and decision.txn is not None:
                 running.append(decision.txn)
-    assert brain.welcome > 0.5, "it never came up"
+    assert brain.advertised_capacity > 0.5, "it never came up"
 
 
 def test_a_cold_instance_that_nobody_comes_to_welcomes_by_its_ramp_and_a_warm_one_whole() -> None:
     for cold, least, at_most in ((True, 0.3, 0.45), (False, 1.0, 1.0)):
         plain = PLAIN | {"instance.say": "weight", "rules.cold_from": 0.25, "rules.ramp_time": RAMP}
         brain = Brain(plain, 1, 0)
-        brain.booted(0, cold, 0)
+        brain.on_boot(0, cold, 0)
         for now in range(0, 1_500_000, 50_000):
-            brain.woke(now, 1, {"busy": 0.1, "runnable": 0.0})
+            brain.on_wake(now, 1, {"busy": 0.1, "runnable": 0.0})
             while brain.decide() is not None:
                 pass
-        assert least <= brain.welcome <= at_most
+        assert least <= brain.advertised_capacity <= at_most
 
 
 # ---- real processes, counted at the ledger
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -35,7 +35,7 @@
         waits = [0, 30_000, 400_000, 3_000_000] if host.settings["instance.passes_expiry"] else [0]
         host.read(
             key=key,
-            patience=chance.choice(waits),
+            max_wait=chance.choice(waits),
             size_kb=chance.uniform(5, 40),
             age=chance.randrange(200_000),
             caller=chance.randrange(3),
@@ -86,10 +86,10 @@
     for number in range(200):
         if number % 20 == 0:
             share = chance.choice((0, 1, 2, 3, 9)) if number else 9
-            host.brain.share(host.now, share)
+            host.brain.set_call_share(host.now, share)
         before = set(host.calls)
         for _ in range(3):
-            host.take(patience=900_000)
+            host.take(max_wait=900_000)
         for txn in host.at(Stage.RUNNING)[:4]:
             host.needs(txn)
         host.pull()
@@ -279,15 +279,15 @@
 @given(seed=st.integers(0, 10**6))
 def test_calls_of_a_window_are_counted_right_and_without_a_walk(seed: int) -> None:
     chance, calls, now = random.Random(seed), Calls(1_000, 100), 0
-    calls.over = Unwalked()
+    calls.finished = Unwalked()
     ended: list[int] = []
     for ref in range(200):
         now += chance.randrange(30)
         calls.begin(ref, now, 500)
-        if ref % 3 and (out := list(calls.out)):
+        if ref % 3 and (out := list(calls.pending)):
             left = chance.random() < 0.3
             calls.end(chance.choice(out), now, left)
             ended.append(now + 100 * left)
-        assert calls.through(now) == sum(now - 1_000 < end <= now for end in ended)
-        assert calls.in_hand(now) == len(calls.out) + sum(end > now for end in ended)
-    assert len(calls.over) + len(calls.lingering) < 150
+        assert calls.completed(now) == sum(now - 1_000 < end <= now for end in ended)
+        assert calls.in_flight(now) == len(calls.pending) + sum(end > now for end in ended)
+    assert len(calls.finished) + len(calls.lingering) < 150
