--- a/limeridge/brain.py
+++ b/limeridge/brain.py
@@ -1,12 +1,12 @@
-"""The decisions of one instance: what it takes, runs and turns away.  Types: limeridge/interface.py.
+"""The decision module: which requests one instance accepts, runs, declines or fails.
 
-A host makes one Brain for each instance from a plain map of settings (docs/design.md lists the names), a
-seed and the clock, and never shares one.  Inputs (`arrived`, `ended`, `needs_call`, `call_ended`,
-`caller_gone`, `leave`, `woke`, `revise`) only update what is known.  After each round of inputs the host
-pulls `decide()` until it gives None and carries the decisions out in that order.  Times are whole
-microseconds.
+The types it shares with its hosts are in limeridge/interface.py. A host creates one Brain for each instance
+from a flat map of settings (docs/design.md lists the names), a seed and the current time, and does not share
+it. Inputs (`on_txn_arrived`, `on_run_ended`, `on_call_needed`, `on_call_ended`, `on_caller_gone`,
+`start_drain`, `on_wake`, `update_settings`) only update state. After each batch of inputs the host calls
+`decide()` until it returns None and carries out the decisions in that order. Times are whole microseconds.
 
-The ordinary path is the ladder and the hold rule of docs/design.md; the rest keeps the four rules.
+The normal path is the ladder and the hold rule of docs/design.md; the rest enforces the four rules there.
 """
 
 from __future__ import annotations
@@ -21,70 +21,60 @@
 from limeridge.interface import ClassTerms, Decision, Outcome, Stage, Txn, Verb
 from limeridge.records import CallerTable, Calls, CustomerBuckets, TxnRegistry
 
-COST_WINDOW = 20  # runs whose worst is an approach's cost
-TIME_LIMIT_SHARE = 0.8  # of the SLA time
-REACTIVATION_SHARE = 0.5  # of time_limit
+COST_WINDOW = 20  # most recent runs of an approach, the slowest of which is its cost
+TIME_LIMIT_SHARE = 0.8  # time_limit, as a share of the SLA time
+REACTIVATION_SHARE = 0.5  # reactivation_threshold, as a share of time_limit
 MAX_APPROACHES = 4
-HOLD_TARGET = 0.2  # hold target, of the SLA time
-HOLD_INTERVAL = 0.05  # of the SLA time
-RUN_TIME_QUANTILE = (
-    0.75  # share of recent runs that a held txn must still have time for; half with a core free
-)
-RETRY_WEIGHT = 0.7
-MIN_BUCKET_DEPTH = (
-    4.0  # txns that a customer's bucket holds at the least, against one too small for a whole txn
-)
-TICK_US = 50_000  # the one pending wake-up comes at most this much later
-PUBLISH_INTERVAL_US = 250_000  # the published value moves at most this often
-FULL_BUSY_SHARE = 0.93  # busy share at which cores count as near full
-MAX_RUNNABLE_PER_CORE = 1.3  # asking for a core, per core: above it the running cap shrinks
-CONCURRENCY_SHARE = 0.8  # of the crowd that the server survives
-MEMORY_SHARE = 0.92
-MIN_CALL_BOUND_SHARE = 0.4  # of the own share: less in hand than this does not make what lies below quicker
-MAX_CALL_BOUND_SHARE = 0.9  # of the own share of calls below
-ALLOWED_TXNS_PER_CORE = 2.5  # txns a core out here at a welcome of 1, by allowance
-MIN_SKIPPABLE_CALL_TIME = 0.15  # time at a call, of the SLA time, from which leaving it out saves something
-CALL_HISTORY_US = 2_000_000  # what was seen of calls this long ago says nothing of them now
-MAX_CALL_WAIT = 0.4  # of the SLA time: more at a call than come through in it would wait for nothing
-SLOW_CALL_FACTOR = 4  # times what half the calls took when they were quickest: slower ones are slow
-CALL_BOUND_STEP = 0.05  # of the bound's floor, by which a quick call raises the bound
-CALL_BOUND_DECREASE = 0.85  # of the bound, that a slow or failed call leaves
-MIN_CALL_BOUND_LINGERS = 2.5  # times of lingering in a window: the least bound of a share under one call
-MIN_TIMEOUT_FACTOR = 2  # least time-out of a call, of what nine in ten took
-LOST_CALL_FACTOR = 3  # times what nine in ten took: one without an answer by then is taken for lost
-MAX_REQUIRED_TIMEOUT_SHARE = (
-    0.9  # of the longest call that a share under one ever has room for: none waits for more
-)
-LONGEST_CALL_SHARE = 0.25  # of a window's share under one, that one call may take beside its lingering
-CALL_TRANSIT_MARGIN = 0.02  # of the share, for calls that come to the records service and leave it late
-STOP_MARGIN_US = 200_000  # before the process is killed
-RETRY_AFTER_RANGE = (0.1, 0.7)  # of the longest time to come back after
-MIN_ADVERTISED_CAPACITY = 0.1  # a dead server says nothing, and must not look the better for it
-STUCK_UNREAD_TIME = (
-    0.6  # of the SLA time, that all have waited unread where the line at the door is not caught up
-)
-ALL_FULL_RETRY_SHARE = 0.08  # later tries among all, from which the others count as full too
-ALL_FULL_CAPACITY = 0.25  # welcome under which callers are asked not to try elsewhere either
-EQUAL_WAIT_US = 20_000
-MAX_WAIT_VOTES = 20  # for the usual patience of a caller at the most, so that a new one can win
-RECONNECT_COST_US = 5_000_000  # a connection kept open unused for this long costs as much as a new one
+HOLD_TARGET = 0.2  # acceptable wait in the hold, as a share of the SLA time
+HOLD_INTERVAL = 0.05  # time by which the target may be exceeded, as a share of the SLA time
+RUN_TIME_QUANTILE = 0.75  # run time that a held txn must still have left; the median while a core is free
+RETRY_WEIGHT = 0.7  # of a retry, relative to a first attempt
+MIN_BUCKET_DEPTH = 4.0  # txns; a customer's bucket must be able to hold at least one whole txn
+TICK_US = 50_000  # maximum delay of the single pending wake-up
+PUBLISH_INTERVAL_US = 250_000  # minimum time between regular updates of the published value
+FULL_BUSY_SHARE = 0.93  # busy share from which the cores count as nearly saturated
+MAX_RUNNABLE_PER_CORE = 1.3  # runnable tasks per core above which the running cap shrinks
+CONCURRENCY_SHARE = 0.8  # usable share of the concurrency that the server survives
+MEMORY_SHARE = 0.92  # usable share of the memory
+MIN_CALL_BOUND_SHARE = 0.4  # of the instance's call share; a lower bound does not speed up the ledger
+MAX_CALL_BOUND_SHARE = 0.9  # of the instance's call share
+ALLOWED_TXNS_PER_CORE = 2.5  # concurrent txns allowed to all callers at an advertised capacity of 1
+MIN_SKIPPABLE_CALL_TIME = 0.15  # share of the SLA time below which skipping a call saves too little
+CALL_HISTORY_US = 2_000_000  # observations of calls older than this are ignored
+MAX_CALL_WAIT = 0.4  # of the SLA time; call waiters beyond the calls completed in it would wait in vain
+SLOW_CALL_FACTOR = 4  # calls slower than this multiple of the best median seen count as slow
+CALL_BOUND_STEP = 0.05  # of the minimum bound, added to the bound by a fast call
+CALL_BOUND_DECREASE = 0.85  # factor applied to the bound after a slow or failed call
+MIN_CALL_BOUND_LINGERS = 2.5  # linger times per window: minimum bound for a share below one call
+MIN_TIMEOUT_FACTOR = 2  # minimum time-out of a call, as a multiple of the 90th percentile of call times
+LOST_CALL_FACTOR = 3  # multiple of the 90th percentile after which an unanswered call counts as lost
+MAX_NEEDED_SHARE = 0.9  # of the longest call that a share below one allows; none waits for more
+LONGEST_CALL_SHARE = 0.25  # of a window's share below one: time that a single call may take, besides linger
+CALL_TRANSIT_MARGIN = 0.02  # of the share, for calls that reach and leave the ledger late
+STOP_MARGIN_US = 200_000  # time before the process is killed by which everything must be answered
+RETRY_AFTER_RANGE = (0.1, 0.7)  # of the maximum retry-after time
+MIN_ADVERTISED_CAPACITY = 0.1  # a crashed server publishes nothing and must not look better for it
+STUCK_UNREAD_TIME = 0.6  # of the SLA time; unread time from which the read backlog counts as not draining
+ALL_FULL_RETRY_SHARE = 0.08  # share of retries above which the other instances count as full, too
+ALL_FULL_CAPACITY = 0.25  # advertised capacity below which callers are asked not to try elsewhere
+EQUAL_WAIT_US = 20_000  # maximum waits that differ by less count as equal
+MAX_WAIT_VOTES = 20  # limit of votes for a caller's usual maximum wait, so that a new value can win
+RECONNECT_COST_US = 5_000_000  # an unused connection kept open this long costs as much as a reconnect
 IDLE_LIMITS_US = (250_000, 1_000_000, 4_000_000, 15_000_000)
-RECONNECT_RUNNABLE_PER_CORE = (
-    10  # asking for a core besides runs, per core, from which new connections are too many
-)
-MAX_CALLERS = 512
-ATTEMPT_COUNT_DECAY = 0.99  # of the count of tries, with each further one
-MAX_REQUEST_COUNT = 256  # requests of a class, from which what was counted of them is halved
-DEFAULT_HEED_TIME_US = 1_000_000  # how long a caller keeps to what it was told, where the settings do not say
-MEDIAN, HIGH_QUANTILE = 0.5, 0.9  # quantiles of what was learnt
+RECONNECT_RUNNABLE_PER_CORE = 10  # runnable tasks beyond runs, per core, that show too many new connections
+MAX_CALLERS = 512  # callers remembered
+ATTEMPT_COUNT_DECAY = 0.99  # factor applied to the counts of attempts at each further one
+MAX_REQUEST_COUNT = 256  # requests of a class after which its counts are halved
+DEFAULT_HEED_TIME_US = 1_000_000  # how long a caller follows a published value if the settings do not say
+MEDIAN, HIGH_QUANTILE = 0.5, 0.9
 TIME_EDGES = (0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.55, 0.8, 1.2, 2.0, 4.0)  # of the SLA time
 INQUIRY, REFERENCED, ONCE_ONLY = "inquiry-like", "referenced", "once-only"
-Quotas = Callable[[int], float | None]  # by customer: txns a second of the whole fleet; none or 0: no bound
+Quotas = Callable[[int], float | None]  # customer -> txns per second of the whole fleet; None or 0: no quota
 NOT_EXECUTED = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_STARTED)
 
 
 class Approach:
-    """One rung: a run that leaves out as many optional calls as rungs stand above it."""
+    """One rung of the ladder: a run that skips as many optional calls as there are rungs above it."""
 
     def __init__(self) -> None:
         self.active = True
@@ -96,12 +86,12 @@
 
 
 def product_kind(settings: Mapping[str, Any], number: int) -> str:
-    """A kind that is not told gets the most careful reading: it must not run twice."""
+    """Returns the kind of a product; an unspecified one must not run twice, which is the safest reading."""
     return str(settings.get(f"products.{number}.kind", ONCE_ONLY))
 
 
 def product_terms(settings: Mapping[str, Any], number: int) -> ClassTerms:
-    """What these settings say of a class; what is absent gets its most careful reading."""
+    """Returns the settings of a product, with the safest value for each absent one."""
 
     def setting(name: str, default: Any) -> Any:
         return settings.get(f"products.{number}.{name}", default)
@@ -128,8 +118,10 @@
 
 
 class Product:
-    """What is known of one product: its terms now, and apart from them what was learnt and its line in the
-    hold. What was learnt as a part of the SLA time is kept as a part of the one of now."""
+    """State of one product: its current terms, the statistics collected so far, and its queues in the hold.
+
+    Time statistics are shares of the SLA time and are rescaled when the SLA time changes.
+    """
 
     def __init__(self, kind: str, terms: ClassTerms, number: int) -> None:
         self.number, self.kind, self.terms = number, kind, terms
@@ -140,11 +132,12 @@
             Histogram(TIME_EDGES, keep) for keep in (32, 32, 32, 32, 16)
         )
         self.last_call_at, self.best_call_time, self.last_answered_call_start = 0, float("inf"), -1
-        self.queues: tuple[deque[Txn], ...] = (deque(), deque(), deque())  # first, later tries, over share
+        # First attempts, retries, and txns over their customer's share.
+        self.queues: tuple[deque[Txn], ...] = (deque(), deque(), deque())
         self.request_count, self.settled_count = 0.0, 0.0
 
     def update_terms(self, terms: ClassTerms) -> None:
-        """Other terms from now on; what was learnt stays."""
+        """Replaces the terms and keeps the statistics."""
         if terms.sla_time != self.terms.sla_time:
             for histogram in (self.run_times, self.core_times, self.answer_times, self.call_times):
                 histogram.rescale(self.terms.sla_time / terms.sla_time)
@@ -153,7 +146,7 @@
         self.terms = terms
 
     def select_approach(self, strained: bool, now: int) -> int:
-        # Leaving a call out saves its time alone: where fresh calls are quick, slow cores are no reason to.
+        # Skipping a call saves only the time of the call: if recent calls are fast, slow cores are no reason.
         if (
             not strained
             or now - self.last_call_at > CALL_HISTORY_US
@@ -172,7 +165,7 @@
         return (self.settled_count + 1) / (self.request_count + 1)
 
     def record_run(self, txn: Txn, elapsed: int) -> None:
-        """The paper's switch, after each run."""
+        """Applies the paper's rule for switching approaches after a run."""
         approach = self.ladder[txn.approach]
         approach.costs.append(elapsed)
         if approach.cost > self.terms.time_limit:
@@ -184,7 +177,7 @@
 
 
 class Brain:
-    """One instance's decisions."""
+    """Makes the decisions of one instance."""
 
     def __init__(
         self, settings: Mapping[str, Any], seed: int, now: int, quotas: Quotas | None = None
@@ -233,15 +226,13 @@
         self.calls.configure_bucket(now, *self._call_bucket(share))
         self._charge_previous_life()
         self.call_bound, self.call_bound_reached, self.call_share_assigned = self.min_call_bound, False, False
-        self.waiting_call_loss, self.waiting_call_at = (
-            0.0,
-            now - CALL_HISTORY_US,
-        )  # the loss of a call that lately found no room
+        # What skipping would cost a call that recently waited in vain for room, and when it did.
+        self.waiting_call_loss, self.waiting_call_at = 0.0, now - CALL_HISTORY_US
         self.pending_decisions: Iterator[Decision] | None = None
 
     def _call_bound_range(self, share: float) -> tuple[float, float]:
-        """The most and the least that the bound of calls may be. One that no call can live under would never
-        see one, and so never grow."""
+        """Returns the maximum and the minimum of the bound on calls. A bound too low for any call would never
+        be raised, as only calls raise it."""
         maximum, lingers = (
             MAX_CALL_BOUND_SHARE * share,
             MIN_CALL_BOUND_LINGERS * self.calls.linger / self.calls.window,
@@ -249,30 +240,32 @@
         return maximum, min(maximum, max(MIN_CALL_BOUND_SHARE * share, 1.0 if maximum >= 1 else lingers))
 
     def _call_bucket(self, share: float) -> tuple[float, float]:
-        """Depth, microseconds, and rate of the bucket of a share under one call. Over a whole window both add
-        up to the share. They hang on the settings alone: the next life counts on this one's."""
+        """Returns depth, in microseconds, and fill rate of the time bucket for a share below one call. Over a
+        whole window the two add up to the share. They depend on the settings alone, because the next life
+        relies on this one having had the same bucket."""
         window, linger = self.calls.window, self.calls.linger
         budget = (1 - CALL_TRANSIT_MARGIN) * share * window
         depth = (1 - MAX_CALL_BOUND_SHARE) * budget
         longest = linger + max(TICK_US, LONGEST_CALL_SHARE * budget)
         if longest < min(budget, window):
-            # The least depth from which one call can be so long, the bucket filling meanwhile.
+            # The minimum depth that permits one call of this length while the bucket refills.
             depth = max(depth, longest * (window - budget) / (window - longest))
         return depth, (budget - depth) / window
 
     def _charge_previous_life(self) -> None:
-        """A restart has no second share: the life before may have used all that its bucket allows in its last
-        moments, and every life keeps to the same bucket. What is left to this one up to any moment of its
-        first window is what such a bucket is filled with, from when no call of the life before lingers."""
+        """Charges this life for the calls of the one before: a restart grants no second share. The previous
+        life may have used all that its bucket allowed in its last moments, and every life has the same
+        bucket. At any moment of its first window this one may therefore use only what such a bucket has
+        gained since the last call of the previous life stopped lingering."""
         bucket = self.calls.bucket
         filled = bucket.rate * (self.now - self.started_at - self.calls.linger)
         bucket.level = min(bucket.level, filled) if self.cold else bucket.depth
 
-    # ---- inputs: bookkeeping only
+    # ---- inputs: these only update state
 
     def set_call_share(self, now: int, calls: int) -> None:
-        """The own share of calls is another from now on: so many in hand at a time, with nothing off the top,
-        for whoever deals out whole calls has counted them."""
+        """Changes the instance's share of calls to a number of concurrent calls. No margin is subtracted,
+        because whoever assigns whole calls has already counted them."""
         self.now, self.call_share_assigned = now, True
         self._set_call_bound_range(float(calls), max(min(1.0, calls), MIN_CALL_BOUND_SHARE * calls))
 
@@ -281,8 +274,8 @@
         self.call_bound = min(max(self.call_bound, minimum), maximum)
 
     def update_settings(self, now: int, settings: Mapping[str, Any], quotas: Quotas | None = None) -> None:
-        """Settings of another revision, with the same classes by number. What has arrived keeps the terms
-        that it arrived under, and what was learnt stays."""
+        """Applies the settings of another revision, which has the same classes by number. Requests that have
+        arrived keep the terms that they arrived under, and statistics are kept."""
         terms = [product_terms(settings, product.number) for product in self.products]
         old, self.settings = self.settings, settings
         self.quotas = quotas or self._quota_in_settings
@@ -299,8 +292,8 @@
             self.idle_limit = idle
 
     def on_boot(self, now: int, cold: bool, booted_at: int) -> None:
-        """The machine came up at `born`, and says whether cold: its speed grows from then on. What was read
-        before stays as it is."""
+        """Records that the machine booted at `booted_at`; after a cold boot its speed grows from then on.
+        Requests read before are not affected."""
         self.now, self.booted_at = now, booted_at
         if cold != self.cold:
             self.cold = cold
@@ -323,10 +316,12 @@
         repeat: bool = False,
         effort: int = 0,
     ) -> Txn:
+        """Takes up a request that was read now and reached the machine `age` ago. Its caller waits for
+        `max_wait` from now; 0 means that this is not known."""
         self.now = now
         state = self.products[product]
         terms, arrived = state.terms, now - age
-        # Where the wait should come with the txn and does not, nothing is left of it.
+        # Where each request should carry its maximum wait and this one does not, no time is left.
         wait_known = max_wait > 0 or self.settings.get("instance.passes_expiry")
         due = now + max_wait if wait_known else max(now, arrived + terms.expiry)
         txn = Txn(
@@ -346,7 +341,9 @@
             effort,
         )
         self._backdate_retry(txn, due - arrived)
-        if terms.can_halt and not terms.late_value:  # against runs that go on for an answer worth nothing
+        if (
+            terms.can_halt and not terms.late_value
+        ):  # do not let runs go on for an answer that is worth nothing
             txn.due = min(txn.due, max(now, txn.sla_due))
         txn.remembered_until = arrived + terms.window
         txn.over_share = self._exceeds_quota(txn)
@@ -382,7 +379,8 @@
         if outcome != Outcome.NOT_STARTED and txn.stage not in (Stage.JOINED, Stage.HELD):
             elapsed = now - txn.started_at
             product.record_run(txn, elapsed)
-            if outcome in (Outcome.OK, Outcome.CANCELLED):  # what was cut short would have taken longer yet
+            # An interrupted run would have taken even longer, so its time counts as a lower bound.
+            if outcome in (Outcome.OK, Outcome.CANCELLED):
                 product.run_times.add(elapsed / product.terms.sla_time)
                 if txn.effort:
                     product.work_ratios.add(elapsed / txn.effort)
@@ -404,8 +402,9 @@
             return
         product = self.products[txn.product]
         self.calls.end(txn.ref, now, abandoned=outcome in (Outcome.TIMEOUT, Outcome.RESET))
-        # One that broke, or that others begun later have overtaken by far, tells of the way to the ledger and
-        # not of its load: slowness holds up later ones too. With a share under one call, time-outs are cuts.
+        # A call whose connection broke, or that calls begun later have overtaken, shows a fault on the way to
+        # the ledger and not its load: a slow ledger would delay the later calls as well. With a share below
+        # one call, a time-out is only this module's own limit and shows no loss.
         lost = outcome == Outcome.RESET or (
             outcome == Outcome.TIMEOUT
             and self.max_call_bound >= 1
@@ -419,8 +418,9 @@
         product.best_call_time = min(
             product.best_call_time, product.call_times.quantile(MEDIAN) * product.terms.sla_time
         )
-        # It grows only while it binds: what is never used would let a crowd in before its slowness shows.
-        # What is slow goes by the ledger as it was quickest: a call may take the hold target and be usual.
+        # The bound grows only while it limits calls: an unused higher bound would admit a burst before the
+        # ledger's slowness shows. Calls count as slow relative to the ledger's best time, because even a call
+        # that takes as long as the hold target can be normal.
         if not lost and (
             outcome != Outcome.OK or spent > max(txn.terms.target, SLOW_CALL_FACTOR * product.best_call_time)
         ):
@@ -434,7 +434,7 @@
             self.registry.move(txn, Stage.RUNNING, self.now)
         else:
             txn.call_failure = Outcome.RESET if lost else outcome
-            # Rule 2: a call that may have taken effect is made again for inquiry-like txns alone.
+            # Rule 2: a call that may have taken effect is repeated only for inquiry-like txns.
             txn.may_retry_call = product.kind == INQUIRY or outcome in NOT_EXECUTED
             self._park(txn)
 
@@ -445,6 +445,8 @@
             self._finish(txn)
 
     def start_drain(self, now: int, budget: int, ago: int = 0) -> None:
+        """Starts the drain that was requested `ago` earlier; the process is killed `budget` after that
+        request."""
         self.now = self.publish_at = now
         self.drain_at = now - ago if self.drain_at is None else self.drain_at
         self.stop_at = now - ago + budget
@@ -456,10 +458,9 @@
     # ---- decisions
 
     def decide(self) -> Decision | None:
-        decisions, self.pending_decisions = (
-            self.pending_decisions or self._decisions(),
-            None,
-        )  # against one that broke and ended
+        """Returns the next decision, or None when there is none until the next input."""
+        # Cleared first, so that a generator that raised is not asked again.
+        decisions, self.pending_decisions = self.pending_decisions or self._decisions(), None
         if (decision := next(decisions, None)) is not None:
             self.pending_decisions = decisions
         return decision
@@ -495,29 +496,30 @@
             yield Decision(Verb.WAKE, us=self.wake_at)
 
     def _answer_due_txns(self) -> Iterator[Decision]:
-        """Rule 1, and before the stop rule 3: running work is no excuse. The next look comes a TICK later."""
+        """Rule 1, and rule 3 before the stop: txns that are due are answered, even while they run. The next
+        check may be TICK_US away, so those that become due by then are included."""
         horizon = self.now + TICK_US + self.settings.get("round", 0)
         stopping = self.stop_at is not None and horizon >= self.stop_at - STOP_MARGIN_US
         while (dues := self.registry.due_heap) and (stopping or dues[0][0] <= horizon or dues[0][2].answered):
             yield from self._give_up(heapq.heappop(dues)[2])
 
     def _give_up(self, txn: Txn, try_elsewhere: bool = False) -> Iterator[Decision]:
-        """The final answer of a txn that is given up; it goes out at once."""
+        """Sends the final answer of a txn that is given up, at once."""
         product = self.products[txn.product]
         if txn.answered or txn.stage == Stage.OVER:
             return
         txn.answered = True
-        # What came here past its SLA time says nothing of the load here, and no other can help it.
+        # A txn that was past its SLA time when it was read shows no overload here.
         self.overload_declines += txn.sla_due > txn.read_at
-        # Rule 2: what has run, or joined what has, may have taken effect; never say that it never ran.
+        # Rule 2: a txn that ran, or joined one that ran, may have taken effect; it must not be declined.
         if product.kind != INQUIRY and (txn.ran or txn.stage == Stage.JOINED or self._prior_ran(txn)):
             yield Decision(Verb.VOID, txn)
         else:
             maximum = (
                 self.settings.get("limits.come_back_after", 0) if self.settings.get("limits.advice") else 0
             )
-            # Advice grows with the load, against one decline that closes this instance to a caller for long,
-            # and is spread by chance, against callers that come back all at once.
+            # The retry-after time grows with the load, so that a single decline does not keep a caller away
+            # for long, and is random, so that callers do not all come back at once.
             retry_after = (
                 maximum * max(0.0, 1 - self.advertised_capacity) ** 2 * self.rng.uniform(*RETRY_AFTER_RANGE)
             )
@@ -525,6 +527,7 @@
                 Verb.DECLINE,
                 txn,
                 us=maximum if self.backlog_stuck else int(retry_after),
+                # No other instance can help a txn that is past its SLA time.
                 flag=txn.sla_due <= self.now + TICK_US or (not try_elsewhere and self._others_are_full(txn)),
             )
         if txn.kept and not txn.ran:
@@ -533,10 +536,12 @@
         if txn.stage in (Stage.HELD, Stage.JOINED):
             self._finish(txn)
         elif txn.terms.can_halt and txn.stage == Stage.RUNNING:
-            yield Decision(Verb.HALT, txn)  # answered first, so it is finished: core and memory are free
+            # The answer is already out, so the run can be stopped, which frees its core and memory.
+            yield Decision(Verb.HALT, txn)
 
     def _join_repeats(self) -> Iterator[Decision]:
-        """Rule 2 for referenced txns: one run in a window, repeats share its result or wait to see it run."""
+        """Rule 2 for referenced txns: one run per key window. Repeats share its result, or wait until it is
+        known whether it runs."""
         for _ in range(len(self.unresolved_repeats)):
             txn = self.unresolved_repeats.popleft()
             if txn.stage != Stage.HELD:
@@ -548,13 +553,13 @@
                 txn.ran = True
                 self.registry.move(txn, Stage.JOINED, self.now)
                 yield Decision(Verb.ATTACH, txn)
-            elif ran:  # it failed, or is not known here any more and may have run
+            elif ran:  # the run failed, or is no longer known here and may have taken place
                 yield from self._give_up(txn)
             else:
                 if prior is not None:
-                    # Against two repeats of one dead txn that both run: this one takes its place.
+                    # This txn replaces the one that never ran, so that no second repeat of it runs as well.
                     prior.replaced_by, txn.prior, txn.repeat = txn, None, False
-                # Kept from the reading on: a repeat that comes while this one is held must be known.
+                # The key is remembered from now on, so that repeats that come while this txn is held find it.
                 lifetime = txn.remembered_until - self.now + self.settings.get("round", 0)
                 free_kb = self._free_memory_kb() - self.settings.get("instance.kb_per_key", 0.0)
                 if lifetime > 0 and free_kb < 0:
@@ -566,9 +571,10 @@
                 self.products[txn.product].enqueue(txn)
 
     def _shed_held_txns(self) -> Iterator[Decision]:
-        """The hold rule: what waits past the target over an interval goes, from the front."""
+        """The hold rule: declines, from the front, txns that have waited past the target by an interval."""
         now, min_running = self.now, max(1, self.cores // 3)
-        # Against a wait that no line can meet: with few cores, one comes free seldom. No shorter interval.
+        # With few cores, one seldom becomes free: the interval must not be shorter than the mean time between
+        # two such moments, or no queue could meet it.
         core_gap = 1e6 * sum(p.typical_core_seconds() * p.request_count for p in self.products) / self.cores
         core_gap /= sum(p.request_count for p in self.products) or 1.0
         for product in self.products:
@@ -583,8 +589,9 @@
                     if txn.stage != Stage.HELD:
                         queue.popleft()
                         continue
-                    # Not worth running: it can't make its SLA time. A few still run, to see a slow spell end.
-                    # Where its work is told, that judges it: light ones can still make it, heavy ones not.
+                    # A txn that can't meet its SLA time is not worth running, except for a few, which show
+                    # when a slow period ends. A txn whose expected work is known is judged by that: a light
+                    # one may still be in time where a heavy one is not.
                     run_time, terms = (
                         txn.effort * work_ratio if txn.effort and work_ratio else usual_time,
                         txn.terms,
@@ -594,7 +601,7 @@
                         now + run_time > min(txn.sla_due, txn.due, stop)
                         and self.registry.runs_on_cores() >= min_running
                     )
-                    # The wait is counted from the reading: what waited unread was no choice of the hold.
+                    # The wait is counted from the reading: the hold did not cause the time spent unread.
                     if (
                         late
                         or now > txn.sla_due
@@ -604,21 +611,21 @@
                         yield from self._give_up(txn)
                     else:
                         break
-        # Rule 4, memory: the hold itself must fit, whatever is read.
+        # Rule 4, memory: the hold must fit whatever is read.
         while self._free_memory_kb() < 0 and (ranked := self._rank_queues()):
             txn = min(ranked)[2].pop()
             if txn.stage == Stage.HELD:
                 yield from self._give_up(txn)
 
     def _serve_call_waiters(self) -> Iterator[Decision]:
-        """Call waiters: their own bound, apart from the running cap. Room goes first to the call that would
-        lose most if left out; a run that left one out already has no more to lose."""
+        """Makes or skips the calls that runs wait for, under a bound separate from the running cap. Room goes
+        first to the call whose skipping would lose most; a run that has skipped one has no more to lose."""
         waiting, self.call_waiters = sorted(self.call_waiters, key=self._skip_loss, reverse=True), deque()
         for txn in waiting:
             product = self.products[txn.product]
             if txn.stage != Stage.PARKED or txn.answered:
                 continue
-            # Lost on the way, with time left: made again, as leaving it out would cost value.
+            # A call lost on the way is repeated if there is time, because skipping it would cost value.
             repeat_call = (
                 txn.call_failure == Outcome.RESET
                 and txn.may_retry_call
@@ -626,16 +633,18 @@
                 and txn.sla_due - self.now > txn.terms.target
             )
             waited_long = self.now - txn.stage_since > txn.terms.target
-            # A run that meets trouble below mid-way leaves the call out too, against piling up there.
+            # A call that fails or waits too long is skipped even in a run that started with the full
+            # approach, so that runs do not pile up at the ledger.
             blocked = waited_long or (txn.call_failure is not None and not repeat_call)
-            # Room is spared for a call that would lose more and lately waited: few txns are here.
+            # Room is reserved for a call with a greater loss that waited recently: with few txns here, that
+            # call is seldom waiting at the moment when room becomes free.
             reserved = (
                 loss := self._skip_loss(txn)
             ) < self.waiting_call_loss and self.now - self.waiting_call_at < CALL_HISTORY_US
             time_out = 0 if reserved else self._call_time_out(txn)
             if not (time_out or reserved):
                 self.call_bound_reached = True
-                if waited_long:  # not for one that failed: that tells of no lack of room
+                if waited_long:  # a failed call is not enough, as it shows no lack of room
                     self.waiting_call_loss, self.waiting_call_at = loss, self.now
             if txn.terms.skip_value > 0 and (
                 txn.skipped_calls < txn.approach
@@ -649,9 +658,10 @@
                 yield Decision(Verb.SKIP, txn)
             elif self.now > txn.sla_due or not txn.may_retry_call:
                 yield from self._give_up(txn)
+            # After a refusal the next attempt waits for TICK_US.
             elif time_out and (
                 repeat_call or txn.call_failure is None or self.now - txn.stage_since >= TICK_US
-            ):  # refusals
+            ):
                 txn.calls_made += 1
                 txn.call_failure = None
                 product.last_call_at = self.now
@@ -682,23 +692,25 @@
             yield Decision(Verb.RUN, txn)
 
     def _update_published_value(self) -> Iterator[Decision]:
-        """The free value: callers that heed it stay away before they cost a reading."""
+        """Updates the value that callers are given: those that heed it stay away before a request has to be
+        read."""
         self.publish_at = self.now + PUBLISH_INTERVAL_US
         maximum = 4.0 if self.settings.get("instance.say", "none") == "allowance" else 1.0
         if self.overload_declines:
             self.advertised_capacity *= 1 - 0.5 * min(1.0, self.overload_declines / (self.read_count + 1))
         elif self.unread_time > HOLD_TARGET:
-            self.advertised_capacity *= 0.9  # against a line at the door, which no decline shows
+            self.advertised_capacity *= 0.9  # requests queue unread, which no decline shows
         elif not any(queue for product in self.products for queue in product.queues):
             self.advertised_capacity = min(
                 maximum, self.advertised_capacity * (1.5 if self.busy < FULL_BUSY_SHARE else 1.1)
             )
-        # Against a cold start that looks idle as few come, and then gets more than it can do yet.
+        # A cold instance looks idle while few requests come, and would then get more than it can handle yet.
         self.advertised_capacity = min(
             max(MIN_ADVERTISED_CAPACITY, self.advertised_capacity), maximum * self._speed_factor()
         )
-        # Against a line at the door never caught up: all it holds is late; bad health and a value of 0 lose
-        # none until a read shows it is, or cores are idle. It could harm where reading hangs for a moment.
+        # If the unread backlog never drains, every request in it is late. Reporting bad health and a value of
+        # 0 then loses nothing, until a read shows that it has drained or the cores are idle. It could do harm
+        # where reading only stalls for a moment.
         self.late_reads = self.late_reads if self.runnable >= 1 else 0
         self.backlog_stuck = self.late_reads >= self.cores
         self.overload_declines, self.read_count, self.unread_time = 0, 0, 0.0
@@ -706,14 +718,15 @@
         yield from self._publish_level()
 
     def _publish_level(self) -> Iterator[Decision]:
-        """What each caller may do, so that it adds up to the welcome over all that are told."""
+        """Publishes what each caller may send, so that all callers together keep to the advertised
+        capacity."""
         form, self.new_caller_seen = self.settings.get("instance.say", "none"), False
-        # Callers hear of a successor late, and it is cold: for half of the grace they may come as before.
+        # Callers learn late of a successor, which moreover is cold: they may come for half of the grace.
         delay = self.settings.get("rules.drain_grace", 0) // 2
         withdrawn = self.drain_at is not None and self.now >= self.drain_at + delay
         level = 0.0 if withdrawn or self.backlog_stuck else self.advertised_capacity
         if form == "allowance":
-            # Against more callers than the settings know of: each is told its part of what all may have out.
+            # There may be more callers than the settings say: the total is divided by those seen recently.
             active_callers = self.callers.count_recent(
                 self.now, self.settings.get("instance.heeded", DEFAULT_HEED_TIME_US)
             )
@@ -730,12 +743,13 @@
             yield Decision(Verb.PUBLISH, level=level)
 
     def _update_idle_limit(self) -> Iterator[Decision]:
-        """Against a table full of connections whose callers come back too seldom to use them again: others
-        then find no slot. Each limit is weighed by what it keeps open and what it opens anew."""
+        """Closes idle connections of callers that come back too seldom to use them again, as these could fill
+        the connection table and leave no slot for others. Each limit is weighed by the cost of the
+        connections that it keeps open and of those that it causes to be opened again."""
         limits = (*IDLE_LIMITS_US, longest := int(self.settings.get("instance.idle", 0)))
         gaps = list(zip(self.caller_gaps.counts, limits, strict=True))
         costs = [sum(n * (min(us, gap) / RECONNECT_COST_US + (gap > us)) for n, gap in gaps) for us in limits]
-        # Against a storm of new connections that keeps reads off the cores: those that are open stay open.
+        # Opening very many connections keeps reads off the cores: existing ones then stay open.
         if self.runnable - self.registry.runs_on_cores() > RECONNECT_RUNNABLE_PER_CORE * self.cores:
             self.reconnect_surge_until = self.now + RECONNECT_COST_US
         best = longest if self.now < self.reconnect_surge_until else limits[costs.index(min(costs))]
@@ -743,10 +757,10 @@
             self.idle_limit = best
             yield Decision(Verb.IDLE_LIMIT, us=best)
 
-    # ---- what the decisions weigh
+    # ---- criteria for the decisions
 
     def is_strained(self) -> bool:
-        """Deactivation binds only then; else the full run."""
+        """Whether the deactivation of approaches takes effect; otherwise every run is a full one."""
         late = any(
             queue and self.now - queue[0].read_at > queue[0].terms.target
             for product in self.products
@@ -770,11 +784,13 @@
             self.run_cap = min(self.run_cap * 1.1 + 0.5, CONCURRENCY_SHARE * self._max_concurrency())
 
     def _max_concurrency(self) -> float:
-        """Rule 4: the crowd survived, at the lowest speed that a cold start can have by now."""
+        """Rule 4: returns the number of concurrent runs that the server survives, at the lowest speed that a
+        machine after a cold start can have by now."""
         surplus = self.settings.get("rules.overload_factor", 2.0) - 1
         return float((1 + surplus * self._speed_factor()) * self.cores)
 
     def _speed_factor(self) -> float:
+        """Returns the machine's speed as a share of its full speed: after a cold start it grows linearly."""
         if not self.cold:
             return 1.0
         initial = self.settings.get("rules.cold_from", 0.1)
@@ -785,37 +801,34 @@
         return float(MEMORY_SHARE * self.settings.get("instance.memory_kb", 1e9) - self.registry.memory_kb)
 
     def _call_time_out(self, txn: Txn) -> int:
-        """Rule 4 below: the own share of calls, lingering ones included. 0 = no room, else a time-out."""
+        """Rule 4 at the ledger: returns the time-out of a call that fits into the instance's share, lingering
+        calls included, or 0 if there is no room for one."""
         time_out, product = max(TICK_US, min(txn.sla_due, txn.due) - self.now), self.products[txn.product]
         if self.max_call_bound >= 1:
             if self.cold and self.now - self.started_at < self.calls.linger:
-                return 0  # the calls of the life before may still linger, beside a whole share of new ones
+                return 0  # calls of the previous life may still linger beside a whole share of new ones
             usual = LOST_CALL_FACTOR * product.call_times.quantile(HIGH_QUANTILE) * product.terms.sla_time
             lost = int(max(HOLD_TARGET * txn.terms.sla_time, usual))
             if txn.calls_made < 2 and product.kind == INQUIRY and lost + txn.terms.target < time_out:
-                time_out = lost  # against no answer ever: time is left for another
+                time_out = lost  # leaves time for another call if this one is never answered
             return time_out if self.calls.in_flight(self.now) + 1 <= self.call_bound else 0
-        # A share under one call: it must still hold if every call runs to its time-out.
+        # A share below one call must hold even if every call runs to its time-out.
         room = int(self.call_bound * self.calls.window) - self.calls.linger
         spare = min(room - self.calls.time_in_flight(self.now), int(self.calls.max_time_out(self.now)))
-        # Against calls cut off before a slow answer can come, which cost room and linger for nothing: what
-        # was cut off counts as a call of that length, so the least time-out doubles until answers come.
+        # A call cut off before a slow answer arrives would use room and linger for nothing. One that was cut
+        # off counts as a call of that length, so the minimum time-out doubles until answers arrive.
         minimum = max(
             TICK_US,
             int(MIN_TIMEOUT_FACTOR * product.call_times.quantile(HIGH_QUANTILE) * product.terms.sla_time),
         )
         fits = (
-            0
-            < spare
-            >= min(
-                time_out, minimum, MAX_REQUIRED_TIMEOUT_SHARE * min(room, self.calls.max_time_out_when_idle())
-            )
+            0 < spare >= min(time_out, minimum, MAX_NEEDED_SHARE * min(room, self.calls.max_time_out_idle()))
         )
         return min(time_out, max(min(spare, minimum), spare // 2)) if fits else 0  # half is left for the next
 
     def _exceeds_quota(self, txn: Txn) -> bool:
-        """Traffic beyond a customer's share is worth little and is not marked: an own count of it, this
-        instance's part of the quota, tells."""
+        """Whether the txn exceeds its customer's quota. Such traffic is worth little and arrives unmarked, so
+        each instance measures it against its part of the quota."""
         quota = self.quotas(txn.customer)
         if not quota or txn.resent:
             return False
@@ -826,8 +839,9 @@
         return self.settings.get(f"customers.{customer}.quota_per_s")
 
     def _backdate_retry(self, txn: Txn, max_wait: int) -> None:
-        """A later try's age is not told. A try mostly gets its caller's usual patience, found by majority
-        vote; one that gets another gets all that its client has left, and that tells its age."""
+        """Estimates the age of a retry, which is not transmitted. Most attempts carry their caller's usual
+        maximum wait, which is found by majority vote. One that carries another value has what is left of its
+        client's time, from which the age follows."""
         usual, expiry = (
             self.callers.usual_wait(txn.caller, txn.product, max_wait, EQUAL_WAIT_US),
             txn.terms.expiry,
@@ -836,7 +850,8 @@
             txn.sla_due -= max(0, expiry - max_wait)
 
     def _rank_queues(self, for_running: bool = False) -> list[tuple[float, int, deque[Txn]]]:
-        """What a core's time is worth to the site's goal if a line gets it, for lines that are not empty."""
+        """Returns the non-empty queues, each with the contribution of core time spent on it to the site's
+        goal."""
         setting = self.settings.get
         ranked: list[tuple[float, int, deque[Txn]]] = []
         if not any(queue for product in self.products for queue in product.queues):
@@ -851,7 +866,7 @@
         )
         overall = setting("goal.whole", 1.0) + setting("goal.worst_window", 0.0)
         worst = min(map(Product.settled_share, self.products)) + 0.02
-        # A later try may be past its SLA time already, which its patience need not show.
+        # A retry may be past its SLA time already, which its maximum wait need not show.
         factors = (1.0, RETRY_WEIGHT, setting("over_share_value", 1.0))
         for product, weight in zip(self.products, weights, strict=True):
             bonus = (
@@ -874,7 +889,8 @@
         return ranked
 
     def _call_waiters_at_limit(self, product: Product) -> bool:
-        """The bound of call waiters, for those that can't go on without: what the last calls let through."""
+        """The bound on call waiters of products whose runs can't skip the call: as many as the recent
+        throughput of calls can serve."""
         waiting = self.registry.active_runs() - self.registry.runs_on_cores()
         if not product.terms.may_call or product.terms.skip_value > 0 or waiting < max(2, self.cores // 2):
             return False
@@ -884,22 +900,24 @@
         )
 
     def _others_are_full(self, txn: Txn) -> bool:
-        """Later tries seen here tell that others decline too. Without them, idle servers may stand by."""
-        retries_seen = (
+        """Whether the other instances seem to be full: retries arriving here show that others decline, too.
+        Without retries some may be idle."""
+        seems_full = (
             not self.settings.get("clients.marks_resent")
             or self.recent_retries > ALL_FULL_RETRY_SHARE * self.recent_attempts
         )
-        return retries_seen and (txn.resent or self.advertised_capacity < ALL_FULL_CAPACITY)
+        return seems_full and (txn.resent or self.advertised_capacity < ALL_FULL_CAPACITY)
 
     def _skip_loss(self, txn: Txn) -> float:
         return 0.0 if txn.skipped_calls else txn.terms.value * (1 - txn.terms.skip_value)
 
     def _prior_ran(self, txn: Txn) -> bool:
+        # A repeat that ended without having run may stand between this txn and the run of both.
         while (p := txn.prior) and (p.replaced_by or (p.repeat and not p.ran and p.stage == Stage.OVER)):
-            txn.prior = p.replaced_by or p.prior  # against a dead repeat between this one and the run of both
+            txn.prior = p.replaced_by or p.prior
         return txn.repeat and (txn.prior is None or txn.prior.ran)
 
-    # ---- moves
+    # ---- changes of stage
 
     def _park(self, txn: Txn) -> None:
         self.registry.move(txn, Stage.PARKED, self.now)
--- a/limeridge/histogram.py
+++ b/limeridge/histogram.py
@@ -1,4 +1,4 @@
-"""A small histogram of few coarse bins. Its edges and how much it keeps are the caller's choice."""
+"""A small histogram with few coarse bins. The user chooses the edges and how many values are kept."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 
 class Histogram:
-    """Counts in coarse bins, halved when `keep` are in, so that what is old fades."""
+    """Counts values in coarse bins and halves all counts at `keep` values, so that old values fade."""
 
     def __init__(self, edges: Sequence[float], keep: int) -> None:
         self.edges = edges
         self.counts = [0.0] * (len(edges) + 1)
         self.total, self.keep = 0.0, keep
-        self.quantile_cache: dict[float, float] = {}  # since the last addition; asked far more often
+        self.quantile_cache: dict[float, float] = {}  # valid until the next change; read far more often
 
     def add(self, value: float) -> None:
-        """Counts a value; at `keep` values all counts are halved, so that old ones fade."""
+        """Counts a value; at `keep` values all counts are halved."""
         self.counts[next((i for i, edge in enumerate(self.edges) if value <= edge), len(self.edges))] += 1
         self.total += 1
         self.quantile_cache.clear()
@@ -25,7 +25,8 @@
             self.total /= 2
 
     def quantile(self, q: float) -> float:
-        """Even spread within a bin; the last bin is taken to end at twice the last edge. 0 where empty."""
+        """Interpolates linearly within a bin; the last bin is assumed to end at twice the last edge. Returns
+        0 for an empty histogram."""
         if q not in self.quantile_cache:
             self.quantile_cache[q] = self._compute_quantile(q)
         return self.quantile_cache[q]
@@ -39,7 +40,7 @@
         return 0.0
 
     def rescale(self, factor: float) -> None:
-        """All values are `factor` times what they were; each bin's are taken to spread evenly over it."""
+        """Multiplies all values by `factor`, assuming that those of a bin are spread evenly over it."""
         bounds = (0.0, *self.edges, 2 * self.edges[-1])
         counts = [0.0] * len(self.counts)
         for count, (low, high) in zip(self.counts, pairwise(bounds), strict=True):
@@ -50,7 +51,8 @@
         self.quantile_cache.clear()
 
     def _overlaps(self, low: float, high: float) -> Iterator[tuple[int, float]]:
-        """The bins that a span reaches into, with the part of it in each; the last bin has no end."""
+        """Yields the bins that a range overlaps, with the part of the range in each; the last bin is
+        unbounded."""
         bounds = (0.0, *self.edges, float("inf"))
         for index, (begin, end) in enumerate(pairwise(bounds)):
             overlap = min(high, end) - max(low, begin)
--- a/limeridge/interface.py
+++ b/limeridge/interface.py
@@ -1,7 +1,7 @@
-"""The types that the decision module and its hosts share; no decision and no tuned value stands here.
+"""The types that the decision module and its hosts share; no decisions are made here.
 
-A host makes one `Brain` (see `limeridge.brain`) for each instance, tells it what happened through the
-brain's input methods, and then pulls decisions with `decide()` until that returns None.
+A host creates one `Brain` (see `limeridge.brain`) for each instance, reports events through its input
+methods, and then calls `decide()` until that returns None.
 """
 
 from __future__ import annotations
@@ -14,23 +14,23 @@
     """What a decision asks the host to do."""
 
     RUN = "run"  # start a held txn
-    DECLINE = "decline"  # final answer: turned away; `us` = come back after, `flag` = not elsewhere either
+    DECLINE = "decline"  # final answer: overloaded; `us` = retry after, `flag` = do not try elsewhere either
     VOID = "void"  # final answer: failed
     HALT = "halt"  # stop running work
-    CALL = "call"  # make the call below; `us` = its time-out
-    SKIP = "skip"  # leave the call out
-    MEMO = "memo"  # remember a txn so that repeats are known; `us` = for how long
-    FORGET = "forget"  # drop what MEMO kept
-    ATTACH = "attach"  # settle a repeat with the result of the txn it repeats
-    FITNESS = "fitness"  # answer to health checks from now on: `flag` = good; always answered from store
-    PUBLISH = "publish"  # `level` = the free value that callers are told
-    IDLE_LIMIT = "idle_limit"  # close connections silent for `us`
-    WAKE = "wake"  # call `woke` at the time `us`
+    CALL = "call"  # make the ledger call; `us` = its time-out
+    SKIP = "skip"  # continue the run without the ledger call
+    MEMO = "memo"  # remember a txn so that its repeats are recognised; `us` = for how long
+    FORGET = "forget"  # drop what MEMO stored
+    ATTACH = "attach"  # settle a repeat with the result of the txn that it repeats
+    FITNESS = "fitness"  # health to report from now on: `flag` = healthy; checks are answered from this state
+    PUBLISH = "publish"  # `level` = the load value that callers are given
+    IDLE_LIMIT = "idle_limit"  # close connections that have been idle for `us`
+    WAKE = "wake"  # call `on_wake` at the time `us`
     NOTE = "note"  # `text` for the operators
 
 
 class Outcome(IntEnum):
-    """How a run or a call below ended."""
+    """How a run or a ledger call ended."""
 
     ERROR = 0
     OK = 1
@@ -43,36 +43,37 @@
 
 
 class Stage(IntEnum):
-    """Where a txn is on this instance."""
+    """The stage of a txn on this instance."""
 
     HELD = 0
-    JOINED = 1  # attached to the txn it repeats
-    RUNNING = 2  # on the cores, disk waits included
-    PARKED = 3  # running, at a call that was not made yet
-    CALLING = 4  # running, its call is out
+    JOINED = 1  # attached to the txn that it repeats
+    RUNNING = 2  # on the cores, including disk waits
+    PARKED = 3  # running, waits for a call that has not been made yet
+    CALLING = 4  # running, its call is in flight
     OVER = 5
 
 
 @dataclass(slots=True, frozen=True)
 class ClassTerms:
-    """What the settings of one revision say of a class; times are microseconds."""
+    """The settings of one product in one revision; times are microseconds."""
 
     sla_time: int
     expiry: int
-    time_limit: int  # the paper's, for an approach's cost
-    target: int  # of the wait in the hold
+    time_limit: int  # the paper's, for the cost of an approach
+    target: int  # acceptable wait in the hold
     interval: int
     window: int  # how long a key is remembered
     value: float
     late_value: float
-    skip_value: float  # share of the value without the call; 0: never left out
-    may_call: bool  # whether its runs may call
-    can_halt: bool  # whether a run can be stopped for nothing lost
+    skip_value: float  # share of the value that is left without the call; 0: the call is never skipped
+    may_call: bool  # whether runs may need a ledger call
+    can_halt: bool  # whether a run can be stopped without loss
 
 
 @dataclass(slots=True, eq=False)
 class Txn:
-    """One txn that this instance has read. `ref` is the host's own mark; the brain only hands it back."""
+    """One txn that this instance has read. `ref` belongs to the host; the brain only passes it back. Times
+    are microseconds."""
 
     ref: int
     product: int
@@ -83,32 +84,32 @@
     read_at: int  # into the hold
     due: int
     sla_due: int
-    terms: ClassTerms  # those under which it arrived, up to its answer
+    terms: ClassTerms  # those under which it arrived, valid until it is answered
     resent: bool = False
     prior: Txn | None = None
     repeat: bool = False
-    effort: int = 0  # work expected, as time on a standard core; 0 where it is not told
-    replaced_by: Txn | None = None  # the repeat that took the place of this one, which never ran
+    effort: int = 0  # expected work, as time on a standard core; 0 if unknown
+    replaced_by: Txn | None = None  # the repeat that replaced this txn, which never ran
     stage: Stage = Stage.HELD
     answered: bool = False
     ran: bool = False
     settled: bool = False
     over_share: bool = False
-    kept: bool = False
-    remembered_until: int = 0  # a repeat may still point here until then
+    kept: bool = False  # remembered under its key
+    remembered_until: int = 0  # until then a repeat may still refer to this txn
     started_at: int = 0
     approach: int = 0
     skipped_calls: int = 0
     calls_made: int = 0
-    stage_since: int = 0  # in this stage
-    core_time: int = 0  # on the cores in earlier stretches, disk waits included
+    stage_since: int = 0  # time of the last change of stage
+    core_time: int = 0  # time on the cores before the current stage, including disk waits
     call_failure: Outcome | None = None
     may_retry_call: bool = True
 
 
 @dataclass(slots=True)
 class Decision:
-    """One thing that the host is to do now, on the objects that the brain handed out or was given."""
+    """One action for the host, on objects that the brain returned or was given."""
 
     verb: Verb
     txn: Txn | None = None
--- a/limeridge/records.py
+++ b/limeridge/records.py
@@ -1,6 +1,6 @@
-"""What is counted and remembered: calls below, callers, customers' shares, stages and memory.
+"""Counters and tables of the decision module: ledger calls, callers, customers' buckets, txns and memory.
 
-Nothing is decided here and no tuned value stands here; whoever uses these sets their bounds.
+No decisions are made here and no tuned values are kept here; the users of these classes pass the limits.
 """
 
 from __future__ import annotations
@@ -15,45 +15,46 @@
 
 
 class TimeBucket:
-    """A token bucket of time in hand, in microseconds: each call in hand drains it as time passes, and it
-    fills by `rate` a microsecond up to `depth`. While it does not run dry, no interval of length x sees more
-    than `depth + rate * x` in hand."""
+    """A token bucket of call time in microseconds. Each call in flight drains it as time passes, and it fills
+    by `rate` per microsecond up to `depth`. As long as it does not run empty, the time in flight within any
+    interval of length x is at most `depth + rate * x`."""
 
     def __init__(self, now: int) -> None:
         self.depth, self.rate, self.level = 0.0, 0.0, 0.0
         self.updated_at = now
 
     def advance(self, now: int, in_flight: int) -> None:
-        """Fills and drains up to `now`, so many calls having been in hand since the time before."""
+        """Fills and drains the bucket up to `now`, with `in_flight` calls since the last update."""
         self.level = min(self.depth, self.level + (self.rate - in_flight) * (now - self.updated_at))
         self.updated_at = now
 
     def max_duration(self, remaining: Sequence[int]) -> float:
-        """How long one more call may be in hand, from now, beside others that are for `remaining` each. Only
-        where `rate` is under 1: then the level is lowest when the last of them ends."""
+        """Returns how long one more call may be in flight from now, beside others that have `remaining` to
+        go. Valid only for a `rate` below 1: the level is then lowest when the last of the calls ends."""
         spare = self.level - sum(remaining)
         longest_other = max(remaining, default=0)
         outlasting = spare / (1 - self.rate)
         return outlasting if outlasting >= longest_other else spare + self.rate * longest_other
 
-    def max_duration_when_idle(self) -> float:
-        """How long a call may be in hand that finds the bucket full and no other call."""
+    def max_duration_idle(self) -> float:
+        """Returns how long a single call may be in flight if it begins with a full bucket."""
         return self.depth / (1 - self.rate)
 
 
 class Calls:
-    """Calls in hand and those of a window past. One left behind stays in hand while it may linger.
+    """Calls in flight, and those that ended within the window. An abandoned call counts as in flight for as
+    long as it may linger at the ledger.
 
-    Whatever is asked with each txn must not cost more the more calls a window sees: what came to an end and
-    what still lingers are kept apart, each in the order of its end, and only the ends are looked at.
+    The cost of the queries made for each txn must not grow with the number of calls in a window, so finished
+    and lingering calls are kept apart, each ordered by their end, and only the ends of the queues are read.
     """
 
     def __init__(self, window: int, linger: int, now: int = 0) -> None:
         self.window, self.linger = window, linger
         self.bucket = TimeBucket(now)
-        self.pending: dict[int, tuple[int, int]] = {}  # begin and time-out
+        self.pending: dict[int, tuple[int, int]] = {}  # ref: begin and time of the time-out
         self.finished: deque[tuple[int, int]] = deque()  # begin and end
-        self.lingering: deque[tuple[int, int]] = deque()  # the same, with the end to come
+        self.lingering: deque[tuple[int, int]] = deque()  # begin and the end, which lies in the future
 
     def begin(self, ref: int, now: int, time_out: int) -> None:
         """Counts a call of request `ref`, which times out at `now + time_out` microseconds."""
@@ -61,8 +62,7 @@
         self.pending[ref] = now, now + time_out
 
     def end(self, ref: int, now: int, abandoned: bool) -> None:
-        """Ends the call of `ref`, if there is one; `left_behind` where the records service may still work on
-        it."""
+        """Ends the call of `ref`, if there is one; `abandoned` means that the ledger may still work on it."""
         if ref in self.pending:
             self._advance(now)
             begin = self.pending.pop(ref)[0]
@@ -77,36 +77,36 @@
             self.finished.popleft()
 
     def in_flight(self, now: int) -> int:
-        """Calls that may be at the records service, those left behind there among them."""
+        """Returns the number of calls that may be at the ledger, lingering ones included."""
         self._advance(now)
         return self._count_in_flight()
 
     def completed(self, now: int) -> int:
-        """How many came to their end within the window."""
+        """Returns the number of calls that ended within the window."""
         self._advance(now)
         return len(self.finished)
 
     def time_in_flight(self, now: int) -> int:
-        """Time in hand within the window, if each call that is out runs to its time-out and lingers."""
+        """Returns the total time in flight within the window, if each pending call runs to its time-out and
+        then lingers."""
         start = now - self.window
         pending = ((begin, end + self.linger) for begin, end in self.pending.values())
         spans = [*self.finished, *self.lingering, *pending]
         return sum(end - max(begin, start) for begin, end in spans if end > start)
 
     def max_time_out(self, now: int) -> float:
-        """The longest time-out that the bucket can stand for one more call, if each that is out runs to its
-        own and all of them linger."""
+        """Returns the longest time-out that the bucket allows for one more call, if each pending call runs to
+        its time-out and all of them linger."""
         self._advance(now)
         pending = [max(0, end - now) + self.linger for _, end in self.pending.values()]
         return self.bucket.max_duration([*pending, *(end - now for _, end in self.lingering)]) - self.linger
 
-    def max_time_out_when_idle(self) -> float:
-        """The longest time-out that a full bucket can stand."""
-        return self.bucket.max_duration_when_idle() - self.linger
+    def max_time_out_idle(self) -> float:
+        """Returns the longest time-out that a full bucket allows for a single call."""
+        return self.bucket.max_duration_idle() - self.linger
 
     def configure_bucket(self, now: int, depth: float, rate: float) -> None:
-        """From now on the bucket has this depth and fills at this rate; what is in it stays, as far as it
-        still fits."""
+        """Sets the bucket's depth and fill rate from now on; its level is kept, up to the new depth."""
         self._advance(now)
         self.bucket.depth, self.bucket.rate = depth, rate
         self.bucket.level = min(depth, self.bucket.level)
@@ -116,17 +116,16 @@
 
 
 class CallerTable:
-    """When each caller was last heard and how long it mostly waits; the `most` last heard are kept."""
+    """The last contact and the usual maximum waits of the `capacity` callers that sent a request last."""
 
     def __init__(self, capacity: int, max_votes: int) -> None:
         self.capacity, self.max_votes = capacity, max_votes
         self.last_contacts: dict[int, int] = {}
-        self.usual_waits: dict[
-            int, dict[int, tuple[int, int]]
-        ] = {}  # by product: usual patience, votes for it
+        # By caller and product: the usual maximum wait and the votes for it.
+        self.usual_waits: dict[int, dict[int, tuple[int, int]]] = {}
 
     def record_contact(self, caller: int, now: int) -> float:
-        """How long the caller was away; without end where it is not remembered."""
+        """Records a request and returns the time since the caller's last one, infinity if none is known."""
         previous = self.last_contacts.pop(caller, None)
         self.last_contacts[caller] = now
         if len(self.last_contacts) > self.capacity:
@@ -136,14 +135,16 @@
         return math.inf if previous is None else now - previous
 
     def count_recent(self, now: int, span: int) -> int:
-        """How many were heard within the span; where the table holds no more, by how fast it filled."""
+        """Returns how many callers sent a request within the span. If the table is full, the number is
+        extrapolated from how fast it filled."""
         recent = sum(now - at <= span for at in self.last_contacts.values())
         if recent < self.capacity:
             return recent
         return recent * span // max(1, now - next(iter(self.last_contacts.values())))
 
     def usual_wait(self, caller: int, product: int, max_wait: int, tolerance: int) -> int:
-        """The patience that most tries of this caller and product came with, by majority vote."""
+        """Adds a vote for `max_wait` and returns the maximum wait that most attempts of this caller and
+        product carry, by majority vote."""
         waits = self.usual_waits.setdefault(caller, {})
         usual, votes = waits.get(product, (max_wait, 0))
         votes += 1 if abs(max_wait - usual) < tolerance else -1
@@ -152,14 +153,14 @@
 
 
 class CustomerBuckets:
-    """A bucket a customer, filled evenly; what is taken beyond it is over."""
+    """A token bucket for each customer; requests beyond it exceed the customer's quota."""
 
     def __init__(self) -> None:
-        self.levels: dict[int, tuple[float, int]] = {}
+        self.levels: dict[int, tuple[float, int]] = {}  # by customer: level, and the time that it is of
 
     def take(self, customer: int, per_s: float, depth: float, now: int) -> bool:
-        """Takes one from a tenant's bucket, which fills by `per_s` a second up to `depth`; False where it is
-        empty."""
+        """Takes one token from a customer's bucket, which fills by `per_s` a second up to `depth`. Returns
+        False if it holds less than one."""
         level, updated_at = self.levels.get(customer, (depth, now))
         level = min(depth, level + per_s * (now - updated_at) / 1_000_000)
         self.levels[customer] = level - (level >= 1), now
@@ -167,7 +168,7 @@
 
 
 class TxnRegistry:
-    """Txns by stage and due time, those kept for their repeats, and the memory that they take."""
+    """Txns by stage and due time, those remembered for their repeats, and the memory that they take."""
 
     def __init__(self, run_factor: float, kb_per_key: float) -> None:
         self.stage_counts = dict.fromkeys(Stage, 0)
@@ -182,7 +183,7 @@
         self.kb_per_key = kb_per_key
 
     def add(self, txn: Txn) -> None:
-        """Takes up a new request, its memory and its due time."""
+        """Adds a new request with its memory and its due time."""
         self.stage_counts[txn.stage] += 1
         self.memory_kb += txn.size_kb * self.memory_factors[txn.stage]
         heapq.heappush(self.due_heap, (txn.due, next(self.serial), txn))
@@ -194,17 +195,17 @@
         heapq.heappush(self.key_heap, (until, next(self.serial), txn))
 
     def forget(self, txn: Txn) -> None:
-        """Drops what is remembered of a request that is over."""
+        """Forgets the key of a request, if it is remembered."""
         self.memory_kb -= self.kb_per_key * txn.kept
         txn.kept = False
 
     def expire_keys(self, now: int) -> None:
-        """Forgets all requests whose time of remembering is over."""
+        """Forgets all keys that are remembered until `now` or less."""
         while self.key_heap and self.key_heap[0][0] <= now:
             self.forget(heapq.heappop(self.key_heap)[2])
 
     def move(self, txn: Txn, stage: Stage, now: int) -> None:
-        """Moves a request to another stage, with the counts, memory and core time that go with it."""
+        """Moves a request to another stage and updates counts, memory and core time."""
         txn.core_time = self.core_time(txn, now)
         txn.stage_since = now
         self.memory_kb += txn.size_kb * (self.memory_factors[stage] - self.memory_factors[txn.stage])
@@ -213,15 +214,15 @@
         txn.stage = stage
 
     def core_time(self, txn: Txn, now: int) -> int:
-        """Microseconds that the request has been on a core up to `now`."""
+        """Returns how many microseconds the request has been on a core up to `now`."""
         return txn.core_time + (now - txn.stage_since) * (txn.stage == Stage.RUNNING)
 
     def runs_on_cores(self) -> int:
-        """How many run on a core."""
+        """Returns the number of runs on a core."""
         return self.stage_counts[Stage.RUNNING]
 
     def active_runs(self) -> int:
-        """How many runs have begun and not ended, those that wait for a call among them."""
+        """Returns the number of runs that have begun and not ended, those waiting for a call included."""
         return (
             self.stage_counts[Stage.RUNNING]
             + self.stage_counts[Stage.PARKED]
