--- a/limeridge/config.py
+++ b/limeridge/config.py
@@ -32,7 +32,7 @@
     TenantTable,
     TenantTableBuilder,
 )
-from limeridge.words import Value, pairs_of, settings_of
+from limeridge.words import Value, flatten_settings, parse_settings
 
 
 class Unusable(Exception):
@@ -292,11 +292,11 @@
 
 
 def _flattened(settings: dict[str, Any]) -> Steps[dict[str, Value]]:
-    pairs = pairs_of(settings)
+    pairs = flatten_settings(settings)
     plain: dict[str, Value] = {}
     try:
         while some := list(islice(pairs, PAIRS_PER_STEP)):
-            plain |= settings_of(some)
+            plain |= parse_settings(some)
             yield PAIRS_WORK
     except RecursionError:
         raise Unusable("settings: expected fewer levels one in the other") from None
--- a/limeridge/configuration/application.py
+++ b/limeridge/configuration/application.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from limeridge.config import LIST, OBJECT, SETTINGS, Setup
-from limeridge.words import Value, name_of
+from limeridge.words import Value, internal_name
 
 # From a new file: the addresses, the time to stop, and cores, which stand in the log alone.
 LIVE_FIELDS = ("kernel", "ledger", "node_list", "stop", "cores", "tenants")
@@ -86,7 +86,7 @@
     """The settings that are to be in force, and the paths of those that stay as they were."""
     plain, stay = dict(new.plain), []
     for path in _single_paths():
-        name = name_of(path)
+        name = internal_name(path)
         if path not in live and old.plain.get(name) != new.plain.get(name):
             _carry(old.plain, name, plain, name)
             stay.append(f"settings.{path}")
@@ -113,7 +113,7 @@
         for path in ("classes.N.name", *_class_paths()):
             _carry(origin.plain, _class_name(path, place), plain, _class_name(path, number))
     for path, default in CLASS_LISTS.items():
-        name = name_of(path)
+        name = internal_name(path)
         if name in plain:
             plain[name] = [
                 _item(old if source is None else new, name, number if source is None else source, default)
@@ -144,7 +144,7 @@
 
 
 def _class_name(path: str, number: int) -> str:
-    return name_of(path.replace("N", str(number), 1))
+    return internal_name(path.replace("N", str(number), 1))
 
 
 def _carry(source: Mapping[str, Value], name: str, target: dict[str, Value], under: str) -> None:
--- a/limeridge/simhost/__main__.py
+++ b/limeridge/simhost/__main__.py
@@ -1,4 +1,5 @@
-"""`python -m limeridge.simhost`: the wire on standard input and output, one brain an instance."""
+"""`python -m limeridge.simhost`: the simulator's host, which reads events from standard input and writes
+decisions to standard output, with one Brain for each instance."""
 
 from __future__ import annotations
 
@@ -8,22 +9,22 @@
 
 from limeridge.brain import Brain
 from limeridge.interface import Decision, Outcome, Stage, Txn, Verb
-from limeridge.words import GAUGES, settings_of
+from limeridge.words import GAUGES, parse_settings
 
-PRUNE_EVERY = 256  # txns between two clearings of the door's ids
+PRUNE_EVERY = 256  # txns between two removals of finished ones from an instance's table
 
 
 class Instance:
-    """One brain and the ids by which the wire knows its txns."""
+    """One Brain and its txns by the ids that the simulator gave them."""
 
     def __init__(self, name: str, pairs: list[tuple[str, str]], now: int) -> None:
         self.name = name
         fields = dict(pairs)
-        settings = settings_of((name, value) for name, value in pairs if name not in ("who", "salt"))
+        settings = parse_settings((name, value) for name, value in pairs if name not in ("who", "salt"))
         self.brain = Brain(settings, int(fields["salt"]), now)
         self.txns: dict[int, Txn] = {}
 
-    def take(self, kind: str, fields: dict[str, str], now: int) -> None:
+    def handle_event(self, kind: str, fields: dict[str, str], now: int) -> None:
         brain = self.brain
         if kind == "submit":
             prior = int(fields.get("prior") or 0)
@@ -70,12 +71,12 @@
             else:
                 brain.on_caller_gone(now, txn)
 
-    def replies(self) -> Iterator[str]:
+    def decision_lines(self) -> Iterator[str]:
         while (decision := self.brain.decide()) is not None:
-            yield line_of(self.name, decision)
+            yield format_decision(self.name, decision)
 
 
-def line_of(who: str, decision: Decision) -> str:
+def format_decision(who: str, decision: Decision) -> str:
     verb, us = decision.verb, decision.us
     job = "" if decision.txn is None else f"\tjob={decision.txn.ref}"
     match verb:
@@ -111,12 +112,14 @@
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
+    """Handles batches of events until the input ends. An instance that raises has its error reported in place
+    of its decisions; the others are not affected."""
     instances: dict[str, Instance] = {}
-    touched: dict[str, Instance] = {}
+    touched: dict[str, Instance] = {}  # those that got an event in this batch
     failed: dict[str, str] = {}
     now: int | None = None
-    for raw in source:
-        line = raw.rstrip("\r\n")
+    for raw_line in source:
+        line = raw_line.rstrip("\r\n")
         if not line:
             continue
         kind, *parts = line.split("\t")
@@ -125,16 +128,16 @@
             now = int(dict(pairs)["wall"])
             touched, failed = {}, {}
         elif now is None:
-            raise ValueError("a line outside a batch")
+            raise ValueError("event line outside a batch")
         elif kind == "flush":
             replies: list[str] = []
             for who, instance in touched.items():
                 if who in failed:
                     continue
                 try:
-                    replies.extend(list(instance.replies()))
-                except Exception as trouble:
-                    failed[who] = plain(trouble)
+                    replies.extend(list(instance.decision_lines()))
+                except Exception as error:
+                    failed[who] = error_text(error)
             replies.extend(f"bail_out\twho={who}\twhat={text}" for who, text in failed.items())
             sink.write("\n".join([*replies, "yield", ""]))
             sink.flush()
@@ -142,7 +145,7 @@
         else:
             who = dict(pairs).get("who", "")
             if not who:
-                raise ValueError("an event that names no instance")
+                raise ValueError("event without an instance name (who)")
             try:
                 if kind == "init":
                     instances[who] = touched[who] = Instance(who, pairs, now)
@@ -151,15 +154,15 @@
                     touched.pop(who, None)
                 elif who in instances:
                     touched[who] = instances[who]
-                    instances[who].take(kind, dict(pairs), now)
-            except Exception as trouble:
-                failed[who] = plain(trouble)
+                    instances[who].handle_event(kind, dict(pairs), now)
+            except Exception as error:
+                failed[who] = error_text(error)
     if now is not None:
-        raise ValueError("the input ends inside a batch")
+        raise ValueError("input ended inside a batch")
 
 
-def plain(trouble: Exception) -> str:
-    return " ".join(f"{type(trouble).__name__} {trouble}".split())
+def error_text(error: Exception) -> str:
+    return " ".join(f"{type(error).__name__} {error}".split())
 
 
 def main() -> int:
@@ -167,8 +170,8 @@
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     try:
         serve(sys.stdin, sys.stdout)
-    except Exception as trouble:
-        print(plain(trouble), file=sys.stderr)
+    except Exception as error:
+        print(error_text(error), file=sys.stderr)
         return 1
     return 0
 
--- a/limeridge/words.py
+++ b/limeridge/words.py
@@ -1,7 +1,8 @@
-"""The outside's names for settings and ours, in one table for the simulator's host and the real instance.
+"""Translates the external names of settings to internal ones, for the simulator's host and the real instance.
 
-It owns how settings become the brain's one plain map of names to values. It must never check, default or
-decide: `config.py` refuses what is wrong, the brain gives what is absent its most careful reading.
+This module turns settings into the flat map of names to values that the decision module takes. It must not
+validate values, set defaults or decide: `config.py` rejects invalid settings, and the decision module gives
+absent ones their safest reading.
 """
 
 from __future__ import annotations
@@ -71,58 +72,59 @@
 Value = bool | int | float | str | list[bool | int | float | str]
 
 
-def value_of(text: str) -> bool | int | float | str:
+def parse_value(text: str) -> bool | int | float | str:
     if text in ("true", "false"):
         return text == "true"
-    for kind in (int, float):
+    for number_type in (int, float):
         try:
-            return kind(text)
+            return number_type(text)
         except ValueError:
             pass
     return text
 
 
-def name_of(path: str) -> str:
-    parts = path.split(".")
-    plain: list[str] = []
-    named: list[str] = []
-    for part in parts:
-        if part.isdecimal():
-            named.append(part)
+def internal_name(path: str) -> str:
+    """Translates a dotted path; list indexes in it are kept and do not take part in the lookup."""
+    segments = path.split(".")
+    external: list[str] = []
+    internal: list[str] = []
+    for segment in segments:
+        if segment.isdecimal():
+            internal.append(segment)
             continue
-        plain.append(part)
-        named.append(SEGMENTS.get(".".join(plain), part))
-    return ".".join(named)
+        external.append(segment)
+        internal.append(SEGMENTS.get(".".join(external), segment))
+    return ".".join(internal)
 
 
-def settings_of(pairs: Iterable[tuple[str, str]]) -> dict[str, Value]:
+def parse_settings(pairs: Iterable[tuple[str, str]]) -> dict[str, Value]:
     settings: dict[str, Value] = {}
     for path, text in pairs:
-        name = name_of(path)
+        name = internal_name(path)
         last = name.rpartition(".")[2]
         if last in LISTS:
-            settings[name] = [value_of(item) for item in text.split(",")]
+            settings[name] = [parse_value(item) for item in text.split(",")]
         else:
-            settings[name] = VALUES.get(last, {}).get(text) or value_of(text)
+            settings[name] = VALUES.get(last, {}).get(text) or parse_value(text)
     return settings
 
 
-def pairs_of(value: object, path: str = "") -> Iterator[tuple[str, str]]:
-    """Nested settings, flattened to the path and text pairs of the simulator's first message."""
+def flatten_settings(value: object, path: str = "") -> Iterator[tuple[str, str]]:
+    """Yields nested settings as the pairs of path and text that the simulator's first message holds."""
     if isinstance(value, dict):
         for name, inner in value.items():
-            yield from pairs_of(inner, f"{path}.{name}" if path else str(name))
+            yield from flatten_settings(inner, f"{path}.{name}" if path else str(name))
     elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
         yield f"{path}.count", str(len(value))
         for number, inner in enumerate(value):
-            yield from pairs_of(inner, f"{path}.{number}")
+            yield from flatten_settings(inner, f"{path}.{number}")
     elif isinstance(value, list):
-        yield path, ",".join(text_of(item) for item in value)
+        yield path, ",".join(format_value(item) for item in value)
     elif value is not None:
-        yield path, text_of(value)
+        yield path, format_value(value)
 
 
-def text_of(value: object) -> str:
+def format_value(value: object) -> str:
     if isinstance(value, bool):
         return "true" if value else "false"
     return str(value).replace(" ", "_").replace(",", "_")
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -17,7 +17,7 @@
 from limeridge.config import Unusable, read, setup_of
 from limeridge.facade import Answer, Blocked, End, Ended, Kind
 from limeridge.net import callers, kernel, ledger
-from limeridge.words import settings_of
+from limeridge.words import parse_settings
 
 often = settings(derandomize=True, max_examples=150, deadline=None)
 cuts = st.lists(st.integers(1, 40), max_size=60)
@@ -276,7 +276,7 @@
     )
     setup = setup_of(SAMPLE)
     plain = setup.plain
-    told = settings_of((name, value) for name, _, value in (p.partition("=") for p in text.split()))
+    told = parse_settings((name, value) for name, _, value in (p.partition("=") for p in text.split()))
     customers = {name: told.pop(name) for name in list(told) if name.startswith("customers.")}
     assert plain == told
     # Tenants stand in a table of their own, under the same numbers.
