--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -1,4 +1,5 @@
-"""Plain cases: each guard, each step of the ladder, and the adapter as a process."""
+"""Single cases of the decision module: each guard and each step of the ladder; and the simulator's host as a
+process."""
 
 import subprocess
 import sys
@@ -10,29 +11,29 @@
 from limeridge.interface import Decision, Outcome, Stage, Txn, Verb
 
 
-def verbs(decisions: list[Decision], txn: Txn) -> list[Verb]:
+def verbs_for(decisions: list[Decision], txn: Txn) -> list[Verb]:
     return [d.verb for d in decisions if d.txn is txn]
 
 
-def run_one(host: Host, took: int, call: int = 0) -> None:
-    """One txn through its run, its call included."""
+def complete_run(host: Host, run_time: int, call_time: int = 0) -> None:
+    """Takes one txn through its run and, if `call_time` is given, its call."""
     txn = host.take()
-    if call:
+    if call_time:
         host.block(txn)
-        host.pass_time(call)
+        host.pass_time(call_time)
         if txn.stage == Stage.CALLING:
             host.call_ends(txn, Outcome.OK)
-    host.pass_time(took - call)
+    host.pass_time(run_time - call_time)
     host.finish(txn)
     host.pull()
 
 
-def test_ladder_deactivates_on_the_worst_of_the_window_and_reactivates_with_a_reset() -> None:
+def test_ladder_deactivates_by_the_slowest_run_of_the_window_and_reactivates_with_cleared_costs() -> None:
     host = Host()
     product = host.brain.products[0]
-    run_one(host, 900_000, call=700_000)
+    complete_run(host, 900_000, call_time=700_000)
     assert not product.ladder[0].active
-    assert product.select_approach(strained=False, now=host.now) == 0  # without strain the full run
+    assert product.select_approach(strained=False, now=host.now) == 0  # the full run unless strained
     assert product.select_approach(strained=True, now=host.now) == 1
     txn = host.take()
     txn.approach = 1
@@ -44,23 +45,23 @@
 def test_the_cheapest_approach_stays_active_and_one_slow_run_counts_for_a_window() -> None:
     host = Host(instance__skip_values=[0.0])
     for _ in range(COST_WINDOW):
-        run_one(host, 900_000)
+        complete_run(host, 900_000)
     assert [a.active for a in host.brain.products[0].ladder] == [True]
     for _ in range(COST_WINDOW - 1):
-        run_one(host, 50_000)
+        complete_run(host, 50_000)
     assert host.brain.products[0].ladder[0].cost == 900_000
-    run_one(host, 50_000)
+    complete_run(host, 50_000)
     assert host.brain.products[0].ladder[0].cost == 50_000
 
 
-def test_quick_calls_are_not_left_out_however_slow_the_cores() -> None:
+def test_fast_calls_are_not_skipped_even_on_slow_cores() -> None:
     host = Host()
     for _ in range(5):
-        run_one(host, 900_000, call=30_000)
+        complete_run(host, 900_000, call_time=30_000)
     assert host.brain.products[0].select_approach(strained=True, now=host.now) == 0
 
 
-def test_the_cap_starts_at_the_cores_and_grows_while_cores_are_free() -> None:
+def test_running_cap_starts_at_the_core_count_and_grows_while_cores_are_free() -> None:
     host = Host()
     first = host.crowd(6)[0]
     assert len(host.at(Stage.RUNNING)) == 2
@@ -68,7 +69,7 @@
     assert len(host.at(Stage.RUNNING)) > 2 and first.ran
 
 
-def test_what_waits_past_the_target_over_an_interval_is_declined_from_the_front() -> None:
+def test_txns_that_wait_past_the_target_by_an_interval_are_declined_from_the_front() -> None:
     host = Host()
     running, held = host.crowd(2), host.crowd(3)
     host.pass_time(100_000, busy=1.0, runnable=3)
@@ -78,76 +79,78 @@
     assert not any(t.answered for t in running)
 
 
-def test_an_ordinary_try_is_not_taken_for_an_old_one() -> None:
-    # Guards against: tries of the usual patience judged past their SLA time, and declined by free cores.
+def test_an_ordinary_attempt_is_not_taken_for_an_old_one() -> None:
+    # Guards against this failure: attempts with the usual maximum wait were judged to be past their SLA time,
+    # and declined although cores were free.
     host = Host()
     *_, fresh = [host.read(max_wait=2_000_000, caller=1) for _ in range(6)]
     last = host.read(max_wait=2_700_000, caller=1)
     assert fresh.sla_due == fresh.arrived_at + 1_000_000 and last.sla_due < host.now
 
 
-def test_running_work_is_answered_when_due() -> None:
+def test_running_txn_is_answered_when_due() -> None:
     host = Host()
     txn = host.take(max_wait=500_000)
     host.pass_time(600_000)
     assert txn.ran and host.answers[txn.ref] == Verb.DECLINE
 
 
-def test_once_only_is_voided_not_declined_and_its_call_not_repeated() -> None:
+def test_once_only_txn_is_voided_not_declined_and_its_call_not_repeated() -> None:
     host = Host(products__0__kind="once-only", instance__skip_values=[0.0])
     txn = host.take()
     host.block(txn)
     host.call_ends(txn, Outcome.FULL)
-    assert verbs(host.pull(), txn) == []  # against a ledger that refuses at once, asked again without end
+    assert verbs_for(host.pull(), txn) == []  # or a ledger that refuses at once would be called in a loop
     host.pass_time(60_000)
-    assert verbs(host.seen, txn)[-1] == Verb.CALL
+    assert verbs_for(host.seen, txn)[-1] == Verb.CALL
     host.call_ends(txn, Outcome.RESET)
-    assert verbs(host.pull(), txn) == [Verb.VOID]
+    assert verbs_for(host.pull(), txn) == [Verb.VOID]
 
 
-def test_a_repeat_joins_the_run_and_is_voided_after_a_failed_one() -> None:
+def test_a_repeat_joins_the_run_and_is_voided_after_a_failed_run() -> None:
     host = Host(products__0__kind="referenced")
     first, second = host.take(key="a"), host.take(key="a")
-    assert verbs(host.seen, first) == [Verb.MEMO, Verb.RUN]
-    assert verbs(host.seen, second) == [Verb.ATTACH]
+    assert verbs_for(host.seen, first) == [Verb.MEMO, Verb.RUN]
+    assert verbs_for(host.seen, second) == [Verb.ATTACH]
     host.finish(first, Outcome.ERROR)
-    assert verbs(host.seen, host.take(key="a")) == [Verb.VOID]
+    assert verbs_for(host.seen, host.take(key="a")) == [Verb.VOID]
 
 
-def test_a_repeat_behind_a_dead_repeat_still_knows_of_the_run_of_both() -> None:
-    # Guards against: three tries read in one round, the middle one gone: the last was taken for new work.
+def test_a_repeat_of_an_abandoned_repeat_still_finds_the_run_of_both() -> None:
+    # Guards against this failure: of three attempts read in one batch the middle one's caller went away, and
+    # the last was taken for a new request.
     host = Host(products__0__kind="referenced")
     first, middle, last = [host.read(key="a") for _ in range(3)]
     assert last.prior is middle
     host.pull()
     host.go(middle)
     host.pull()
-    assert (first.ran, verbs(host.seen, last)) == (True, [Verb.ATTACH])
+    assert (first.ran, verbs_for(host.seen, last)) == (True, [Verb.ATTACH])
 
 
-def test_a_declined_ref_is_forgotten_and_its_repeat_is_new_work() -> None:
+def test_a_key_that_never_ran_is_forgotten_and_its_repeat_runs() -> None:
     host = Host(products__0__kind="referenced")
     first, repeat = [host.take(key=key) for key in ("busy-1", "busy-2", "a", "a")][2:]
     assert repeat.stage == Stage.HELD
     host.go(first)
     host.pull()
     host.finish(host.txns[0])
-    assert Verb.RUN in verbs(host.pull(), repeat)
+    assert Verb.RUN in verbs_for(host.pull(), repeat)
 
 
-def test_drain_runs_nothing_late_and_answers_all_before_the_stop() -> None:
+def test_drain_runs_nothing_after_the_grace_and_answers_all_before_the_stop() -> None:
     host = Host()
     running = host.take()
     host.left = host.now
     host.brain.start_drain(host.now, 1_000_000)
     host.pass_time(400_000)
-    assert verbs(host.seen, host.take()) == [Verb.DECLINE]
+    assert verbs_for(host.seen, host.take()) == [Verb.DECLINE]
     host.pass_time(450_000)
     assert host.answers[running.ref] == Verb.DECLINE
     assert any(d.verb == Verb.FITNESS and not d.flag for d in host.seen)
 
 
-def test_the_adapter_speaks_the_wire_and_bails_out_in_plain_text() -> None:
+def test_simulator_host_follows_the_protocol_and_reports_errors_on_one_line() -> None:
     settings = (
         "classes.count=1 classes.0.aim=1000000 classes.0.deadline=4000000 classes.0.idempotency=free "
         "familyInfo.cpus=2 familyInfo.passesDeadline=true new.thing=x_y"
@@ -195,7 +198,7 @@
     assert (broken.returncode, broken.stdout, "Traceback" in broken.stderr) == (1, "", False)
 
 
-TWO = {
+TWO_PRODUCTS = {
     "products__count": 2,
     "products__1__sla_time": 1_000_000,
     "products__1__expiry": 4_000_000,
@@ -208,23 +211,24 @@
 }
 
 
-def test_the_published_value_falls_with_declines_and_recovers_on_free_cores() -> None:
-    # Guards against: all servers saying "stay away" after an overload, an ill one no more than the rest.
+def test_published_value_falls_with_declines_and_recovers_on_free_cores() -> None:
+    # Guards against this failure: after an overload all servers kept publishing a low value, a faulty one no
+    # lower than the rest.
     host = Host(instance__say="weight")
     for _ in range(12):
         host.take()
     host.pass_time(1_000_000, busy=1.0, runnable=4)
-    low = host.brain.advertised_capacity
-    assert low < 0.9
+    lowest = host.brain.advertised_capacity
+    assert lowest < 0.9
     for txn in host.at(Stage.RUNNING):
         host.finish(txn)
     host.take()
     host.pass_time(2_000_000, busy=0.2, runnable=1)
-    assert host.brain.advertised_capacity > 2 * low or host.brain.advertised_capacity == 1.0
+    assert host.brain.advertised_capacity > 2 * lowest or host.brain.advertised_capacity == 1.0
 
 
-def test_a_line_of_unread_txns_lowers_the_welcome() -> None:
-    # Guards against: a line at the door, where no decline and no hold shows it.
+def test_unread_backlog_lowers_the_advertised_capacity() -> None:
+    # Guards against this failure: requests queued unread, which neither declines nor the hold show.
     host = Host(instance__say="allowance")
     before = host.brain.advertised_capacity
     host.take(age=400_000)
@@ -232,34 +236,37 @@
     assert host.brain.advertised_capacity < before
 
 
-def test_first_tries_go_before_later_ones() -> None:
-    # Guards against: a retry storm whose late tries take the cores from first ones.
+def test_first_attempts_run_before_retries() -> None:
+    # Guards against this failure: in a surge of retries, these took the cores from first attempts.
     host = Host()
     running = host.crowd(2)
-    later, first = host.read(resent=True), host.take()
+    retry, first = host.read(resent=True), host.take()
     host.finish(running[0])
-    assert verbs(host.pull(), first) == [Verb.RUN] and later.stage == Stage.HELD
+    assert verbs_for(host.pull(), first) == [Verb.RUN] and retry.stage == Stage.HELD
 
 
-def test_room_below_goes_to_the_call_that_loses_most() -> None:
-    # Guards against: cheap optional calls crowding out dear ones while the ledger is slow.
-    host = Host(**TWO)
-    cheap, dear = host.read(), host.take(product=1)
-    host.brain.on_call_needed(host.now, cheap)
-    host.block(dear)
-    assert (cheap.stage, dear.stage) == (Stage.PARKED, Stage.CALLING)
+def test_room_for_calls_goes_to_the_call_whose_skipping_loses_most() -> None:
+    # Guards against this failure: optional calls of low value displaced those of high value while the ledger
+    # was slow.
+    host = Host(**TWO_PRODUCTS)
+    low_loss, high_loss = host.read(), host.take(product=1)
+    host.brain.on_call_needed(host.now, low_loss)
+    host.block(high_loss)
+    assert (low_loss.stage, high_loss.stage) == (Stage.PARKED, Stage.CALLING)
 
 
-def test_a_few_run_through_a_slow_spell_even_on_few_cores() -> None:
-    # Guards against: an instance that judges all hopeless, runs none, and never sees the spell end.
+def test_a_few_txns_run_in_a_slow_period_even_on_few_cores() -> None:
+    # Guards against this failure: an instance expected every txn to be late, ran none, and so never noticed
+    # the end of the slow period.
     host = Host(instance__cores=1)
     for _ in range(8):
-        run_one(host, 950_000)
+        complete_run(host, 950_000)
     assert host.take().ran
 
 
 def test_two_repeats_of_one_that_never_ran_do_not_both_run() -> None:
-    # Guards against: a referenced txn dropped unrun, whose repeats all took its place.
+    # Guards against this failure: a referenced txn was dropped before it ran, and each of its repeats
+    # replaced it.
     host = Host(products__0__kind="referenced")
     *busy, first = [host.take(key=key) for key in ("busy-1", "busy-2", "a")]
     repeats = [host.read(key="a"), host.read(key="a")]
@@ -272,8 +279,8 @@
     assert [txn.stage for txn in repeats] == [Stage.RUNNING, Stage.JOINED]
 
 
-def test_call_waiters_are_bound_by_what_calls_let_through() -> None:
-    # Guards against: runs that can't go on without the slow ledger piling up there until all are late.
+def test_call_waiters_are_limited_by_the_throughput_of_calls() -> None:
+    # Guards against this failure: runs that need a slow ledger piled up there until all were late.
     host = Host(instance__skip_values=[0.0], instance__cores=4, instance__calls_out=1.0)
     for _ in range(8):
         txn = host.take()
@@ -282,8 +289,9 @@
     assert (len(host.at(Stage.PARKED, Stage.CALLING)), len(host.at(Stage.HELD))) == (2, 6)
 
 
-def test_a_try_that_came_too_late_says_nothing_of_the_load_here() -> None:
-    # Guards against: idle servers that say "stay away" since dead ones made their callers' tries late.
+def test_a_late_attempt_does_not_lower_the_advertised_capacity() -> None:
+    # Guards against this failure: idle servers published a low value because crashed ones had made their
+    # callers' attempts late.
     host = Host(instance__say="weight", clients__marks_resent=True)
     for _ in range(5):
         host.finish(host.read(max_wait=2_000_000, caller=1))
@@ -295,8 +303,8 @@
     assert host.brain.advertised_capacity == 1.0
 
 
-def test_first_tries_are_sent_elsewhere_until_later_ones_show_that_all_are_full() -> None:
-    # Guards against: callers of one site kept from idle servers of another.
+def test_first_attempts_are_sent_elsewhere_until_retries_show_that_all_are_full() -> None:
+    # Guards against this failure: callers of one site were kept away from idle servers of another.
     for resent in (False, True):
         host = Host(clients__marks_resent=True)
         for _ in range(12):
@@ -306,49 +314,50 @@
         assert {d.flag for d in host.seen if d.verb == Verb.DECLINE} == {resent}
 
 
-def test_a_free_core_runs_what_has_half_a_chance() -> None:
-    # Guards against: slow nodes that decline on reading, with cores free, what most runs would settle.
+def test_a_free_core_runs_a_txn_that_is_in_time_by_the_median_run_time() -> None:
+    # Guards against this failure: slow nodes with free cores declined txns on reading that most runs would
+    # have settled.
     host = Host()
-    for took in (300_000, 300_000, 300_000, 980_000, 980_000):
-        run_one(host, took)
+    for run_time in (300_000, 300_000, 300_000, 980_000, 980_000):
+        complete_run(host, run_time)
     busy, txn = host.read(), host.take(age=300_000)
     assert (busy.ran, txn.ran) == (True, True)
 
 
-def test_memory_and_a_cold_start_bound_what_runs() -> None:
+def test_memory_and_a_cold_start_limit_concurrent_runs() -> None:
     cold = {"instance__cold": True, "rules__overload_factor": 1.2}
-    for changes, most in (({"instance__memory_kb": 500.0}, 2), (cold, 3), ({}, 4)):
+    for changes, maximum in (({"instance__memory_kb": 500.0}, 2), (cold, 3), ({}, 4)):
         host = Host(instance__cores=4, **changes)
         for _ in range(12):
             host.take(size_kb=25.0)
-        assert len(host.at(Stage.RUNNING)) == most
+        assert len(host.at(Stage.RUNNING)) == maximum
 
 
-def test_a_run_keeps_its_approach_and_leaves_a_failed_call_out() -> None:
+def test_a_run_keeps_its_approach_and_skips_a_failed_call() -> None:
     host = Host()
     txn = host.take()
     host.brain.products[0].ladder[0].active = False
     host.brain.on_call_needed(host.now, txn)
-    assert verbs(host.pull(), txn) == [Verb.CALL]
+    assert verbs_for(host.pull(), txn) == [Verb.CALL]
     host.call_ends(txn, Outcome.ERROR)
-    assert verbs(host.pull(), txn) == [Verb.SKIP]
+    assert verbs_for(host.pull(), txn) == [Verb.SKIP]
     assert txn.approach == 0
 
 
-def test_advice_to_come_back_is_spread() -> None:
-    # Guards against: callers that all come back at once, and cores idle until then.
+def test_retry_after_times_are_spread() -> None:
+    # Guards against this failure: callers all came back at the same moment, and cores were idle until then.
     host = Host()
     host.brain.advertised_capacity = 0.1
     for _ in range(12):
         host.take()
     host.pass_time(400_000, busy=1.0, runnable=4)
-    advice = {d.us for d in host.seen if d.verb == Verb.DECLINE}
-    assert len(advice) > 5 and max(advice) <= 1_000_000
+    retry_after = {d.us for d in host.seen if d.verb == Verb.DECLINE}
+    assert len(retry_after) > 5 and max(retry_after) <= 1_000_000
 
 
-def test_a_door_that_is_never_caught_up_turns_health_bad_until_it_is() -> None:
-    # Guards against: a server that reads seconds behind, finds all too late, and so settles nothing for good;
-    # and reads so few that every pause between them looks like relief.
+def test_an_unread_backlog_that_never_drains_turns_health_bad_until_it_drains() -> None:
+    # Guards against this failure: a server that read requests seconds late settled none of them and did not
+    # recover; it read so few that each pause between them looked like an end of the backlog.
     for pause in (100_000, 1_000_000):
         host = Host(instance__say="weight")
         for _ in range(8):
@@ -359,56 +368,59 @@
         assert [d.flag for d in host.seen if d.verb == Verb.FITNESS] == [True, False, True]
 
 
-def test_connections_are_closed_early_where_callers_seldom_come_back() -> None:
-    # Guards against: a table full of connections that nobody uses again, and callers that find no slot.
+def test_connections_are_closed_early_if_callers_seldom_come_back() -> None:
+    # Guards against this failure: the connection table was full of connections that were never used again,
+    # and other callers found no slot.
     for callers, closed in ((4, False), (400, True)):
         host = Host(instance__idle=30_000_000)
         for number in range(40):
             host.finish(host.take(caller=number % callers))
             host.pass_time(200_000)
         assert closed == any(d.verb == Verb.IDLE_LIMIT and d.us < 800_000 for d in host.seen)
-    # And against: a storm of new connections, each closed before its caller's next try.
+    # With very many new connections, each was closed before its caller's next attempt.
     host.take()
     host.pass_time(600_000, busy=1.0, runnable=40)
     assert [d.us for d in host.seen if d.verb == Verb.IDLE_LIMIT][-1] == 30_000_000
 
 
-def test_a_held_txn_waits_for_the_next_core() -> None:
-    # Guards against: one or two cores that free up seldom, and declines that cost a reading elsewhere.
+def test_a_held_txn_waits_until_the_next_core_is_free() -> None:
+    # Guards against this failure: with one or two cores, which seldom become free, held txns were declined
+    # and had to be read again elsewhere.
     host = Host(instance__cores=1)
     for _ in range(4):
-        run_one(host, 300_000)
+        complete_run(host, 300_000)
     busy, held = host.take(), host.take()
     host.pass_time(290_000, busy=1.0, runnable=2)
     host.finish(busy)
-    assert Verb.RUN in verbs(host.pull(), held)
+    assert Verb.RUN in verbs_for(host.pull(), held)
 
 
-def test_no_call_goes_out_that_would_be_cut_off_again() -> None:
-    # Guards against: a slow ledger whose every call is cut off, lingers and is made again.
+def test_no_call_is_made_that_would_be_cut_off_again() -> None:
+    # Guards against this failure: with a slow ledger every call was cut off, lingered there and was made
+    # again.
     host = Host(instance__calls_out=0.5, instance__skip_values=[0.0])
     for _ in range(4):
         host.block(host.take())
         host.pass_time(900_000)
-    waits = [d.us for d in host.seen if d.verb == Verb.CALL]
-    assert len(waits) > 1 and min(waits) >= 200_000
+    time_outs = [d.us for d in host.seen if d.verb == Verb.CALL]
+    assert len(time_outs) > 1 and min(time_outs) >= 200_000
 
 
-def test_the_bound_on_calls_grows_only_while_it_binds() -> None:
-    # Guards against: a crowd let in below before its slowness shows.
+def test_the_bound_on_calls_grows_only_while_it_limits_calls() -> None:
+    # Guards against this failure: a burst of calls was admitted before the ledger's slowness showed.
     host = Host(instance__skip_values=[0.0], instance__calls_out=5.0, instance__cores=4)
-    least = host.brain.call_bound
-    for together in (1, 1, 4, 4):
-        txns = [host.take() for _ in range(together)]
+    initial_bound = host.brain.call_bound
+    for concurrent in (1, 1, 4, 4):
+        txns = [host.take() for _ in range(concurrent)]
         for txn in txns:
             host.block(txn)
         for txn in txns:
             host.finish(txn) if txn.stage != Stage.CALLING else host.call_ends(txn, Outcome.OK)
-        assert (host.brain.call_bound > least) == (together > 1)
+        assert (host.brain.call_bound > initial_bound) == (concurrent > 1)
 
 
-def test_a_txn_is_judged_by_the_hint_of_its_work() -> None:
-    # Guards against: light txns declined with cores free, heavy ones run late.
+def test_a_txn_is_judged_by_its_expected_work() -> None:
+    # Guards against this failure: light txns were declined with cores free, and heavy ones ran too late.
     host = Host()
     for _ in range(4):
         txn = host.take(effort=200_000)
@@ -418,23 +430,23 @@
     assert (busy.ran, heavy.ran, light.ran) == (True, False, True)
 
 
-def test_a_run_ends_at_its_sla_time_where_late_is_worth_nothing() -> None:
-    # Guards against: cores spent on answers that nobody wants any more.
-    for late_value, verbs_then in ((0.0, [Verb.DECLINE, Verb.HALT]), (0.2, [])):
+def test_a_run_is_halted_at_its_sla_time_if_a_late_answer_has_no_value() -> None:
+    # Guards against this failure: cores were spent on answers that were no longer wanted.
+    for late_value, later_verbs in ((0.0, [Verb.DECLINE, Verb.HALT]), (0.2, [])):
         host = Host(instance__preemption="discard", products__0__late_value=late_value)
         txn = host.take()
         host.pass_time(1_100_000)
-        assert verbs(host.seen, txn)[1:] == verbs_then
+        assert verbs_for(host.seen, txn)[1:] == later_verbs
 
 
-def test_a_customer_with_a_small_part_here_is_not_over_its_share_at_once() -> None:
-    # Guards against: a bucket that can hold no whole txn.
+def test_a_customer_with_a_small_quota_here_does_not_exceed_it_at_once() -> None:
+    # Guards against this failure: the bucket was too small for a whole txn.
     host = Host(customers__0__quota_per_s=30.0, group_size=100)
     assert [host.read().over_share for _ in range(6)] == [False] * 4 + [True] * 2
 
 
-def test_lines_of_equal_worth_are_ranked_all_the_same() -> None:
-    # Guards against: an exception where txns over their share count as much as others.
+def test_queues_of_equal_value_are_ranked() -> None:
+    # Guards against this failure: ranking raised when txns over their share counted as much as others.
     host = Host(customers__0__quota_per_s=30.0, group_size=100)
     assert [txn.stage for txn in host.crowd(8)].count(Stage.RUNNING) == 2
     host.finish(host.txns[0])
@@ -442,20 +454,21 @@
     assert host.txns[2].ran and not host.txns[6].ran
 
 
-def test_a_cheap_call_spares_its_room_for_a_dear_one_that_lately_waited() -> None:
-    # Guards against: few txns here at once, so that the dear call is seldom at the call when room goes.
-    host = Host(**TWO | {"instance__skip_values": [0.5, 0.0]})
-    first, dear = host.take(product=1), host.take(product=1)
+def test_a_low_loss_call_is_skipped_in_favour_of_a_high_loss_one_that_recently_waited() -> None:
+    # Guards against this failure: with few txns at a time, the high-loss call was seldom waiting when room
+    # became free.
+    host = Host(**TWO_PRODUCTS | {"instance__skip_values": [0.5, 0.0]})
+    first, high_loss = host.take(product=1), host.take(product=1)
     host.block(first)
-    host.block(dear)
+    host.block(high_loss)
     host.pass_time(300_000)
     host.call_ends(first, Outcome.OK)
     host.finish(first)
-    cheap = host.take()
-    assert verbs(host.block(cheap), cheap) == [Verb.SKIP]
+    low_loss = host.take()
+    assert verbs_for(host.block(low_loss), low_loss) == [Verb.SKIP]
 
 
-def test_a_call_that_others_overtake_is_made_again_and_shrinks_no_bound() -> None:
+def test_a_call_that_others_overtake_is_repeated_and_does_not_lower_the_bound() -> None:
     for overtaken in (True, False):
         host = Host(instance__calls_out=40.0, instance__skip_values=[0.6])
         for _ in range(20):
@@ -468,7 +481,7 @@
         bound = host.brain.call_bound = 20.0
         txn = host.take()
         [call] = [d for d in host.block(txn) if d.verb == Verb.CALL]
-        assert call.us <= 300_000  # of a second: time is left
+        assert call.us <= 300_000  # of 1 s, which leaves time for another call
         host.pass_time(50_000)
         if overtaken:
             later = host.take()
@@ -479,10 +492,11 @@
         host.seen.clear()
         host.pass_time(300_000)
         assert [d.verb for d in host.seen if d.txn is txn] == [Verb.CALL if overtaken else Verb.SKIP]
-        assert (host.brain.call_bound == bound) == overtaken  # if not, the ledger may be slow
+        # A call that was not overtaken may show a slow ledger.
+        assert (host.brain.call_bound == bound) == overtaken
 
 
-def test_the_value_goes_to_nothing_once_half_of_the_grace_is_over() -> None:
+def test_published_value_falls_to_zero_after_half_of_the_drain_grace() -> None:
     host = Host(instance__say="weight")
     host.take()
     host.pass_time(300_000)
--- a/tests/test_seeds.py
+++ b/tests/test_seeds.py
@@ -1,8 +1,9 @@
 """Reading a long list of members from service discovery.
 
-What happens: in a fleet of more than 2,560 places nobody joins by the list. Why: an answer in more than 64
-parts of 40 places was passed over whole, and of a shorter one the first 400 places alone were kept, the same
-for every reader. What showed it: `PARTS_MOST`, and no member found in an answer of 3,400 places.
+Guards against this failure: in a fleet of more than 2,560 addresses nobody joined by the list. An answer in
+more than 64 parts of 40 addresses, the limit at the time, was ignored as a whole, and of a shorter one only
+the first 400 addresses were kept, the same ones for every reader. An answer of 3,400 addresses yielded no
+member.
 """
 
 import random
@@ -11,44 +12,45 @@
 
 from limeridge.peers.seeds import ENTRIES_MOST, Patience, Seeker
 
-PART = 40  # places in one datagram
-OWN = ("127.1.0.1", 7950)
+PART_SIZE = 40  # addresses in one datagram
+OWN_ADDRESS = ("127.1.0.1", 7950)
 
 
-def places(count: int) -> list[str]:
+def addresses(count: int) -> list[str]:
     return [f"127.{2 + number // 250}.{number % 250}.1:7950" for number in range(count)]
 
 
-def read(count: int, seed: int = 1) -> Seeker:
-    """A reader that was told so many places, in parts that come in any order, some of them twice."""
-    chance = random.Random(seed)
+def read_list(count: int, seed: int = 1) -> Seeker:
+    """Returns a reader that received `count` addresses, in parts in random order and some of them twice."""
+    rng = random.Random(seed)
     seeker = Seeker(Patience(), random.Random(seed), 0)
     assert seeker.ask(0, 1_000_000)
-    listed = places(count)
-    parts = [listed[start : start + PART] for start in range(0, count, PART)]
+    listed = addresses(count)
+    parts = [listed[start : start + PART_SIZE] for start in range(0, count, PART_SIZE)]
     order = [*range(len(parts)), *range(0, len(parts), 3)]
-    chance.shuffle(order)
+    rng.shuffle(order)
     for part in order:
-        seeker.heard([str(seeker.asked), str(part), str(len(parts)), *parts[part]], OWN)
+        seeker.heard([str(seeker.asked), str(part), str(len(parts)), *parts[part]], OWN_ADDRESS)
     return seeker
 
 
 @pytest.mark.parametrize("count", [3, 400, 2_560, 2_561, 3_400, 20_000])
 def test_members_are_found_in_a_list_of_any_length(count: int) -> None:
-    seeker = read(count)
+    seeker = read_list(count)
     assert len(seeker.found) == len(set(seeker.found)) == min(count, ENTRIES_MOST)
     assert len(seeker.take(set())) == min(3, count)
 
 
-def test_readers_of_a_long_list_try_all_of_it_and_not_its_first_places() -> None:
-    tried = {address for seed in range(200) for address in read(3_400, seed).take(set())}
-    halves = [address for address in tried if int(address[0].split(".")[1]) - 2 < 3_400 / 250 / 2]
-    assert 0.35 < len(halves) / len(tried) < 0.65 and len(tried) > 400
+def test_readers_of_a_long_list_try_addresses_from_all_of_it() -> None:
+    tried = {address for seed in range(200) for address in read_list(3_400, seed).take(set())}
+    first_half = [address for address in tried if int(address[0].split(".")[1]) - 2 < 3_400 / 250 / 2]
+    assert 0.35 < len(first_half) / len(tried) < 0.65 and len(tried) > 400
 
 
-def test_an_answer_to_another_asking_leaves_what_was_found() -> None:
-    seeker = read(100)
-    before = list(seeker.found)
-    seeker.heard([str(seeker.asked + 1), "0", "1", "127.9.9.9:7950"], OWN)
-    seeker.heard([str(seeker.asked), "0", "1", "127.9.9.9:7950"], OWN)  # a part that was read already
-    assert seeker.found == before
+def test_an_answer_to_another_query_changes_nothing() -> None:
+    seeker = read_list(100)
+    found = list(seeker.found)
+    seeker.heard([str(seeker.asked + 1), "0", "1", "127.9.9.9:7950"], OWN_ADDRESS)
+    # A part that was received before.
+    seeker.heard([str(seeker.asked), "0", "1", "127.9.9.9:7950"], OWN_ADDRESS)
+    assert seeker.found == found
