--- a/limeridge/brain.py
+++ b/limeridge/brain.py
@@ -224,7 +224,7 @@
         share = float(settings.get("instance.calls_out", 0.5))
         self.max_call_bound, self.min_call_bound = self._call_bound_range(share)
         self.calls.configure_bucket(now, *self._call_bucket(share))
-        self._charge_previous_life()
+        self._charge_predecessor()
         self.call_bound, self.call_bound_reached, self.call_share_assigned = self.min_call_bound, False, False
         # What skipping would cost a call that recently waited in vain for room, and when it did.
         self.waiting_call_loss, self.waiting_call_at = 0.0, now - CALL_HISTORY_US
@@ -241,8 +241,8 @@
 
     def _call_bucket(self, share: float) -> tuple[float, float]:
         """Returns depth, in microseconds, and fill rate of the time bucket for a share below one call. Over a
-        whole window the two add up to the share. They depend on the settings alone, because the next life
-        relies on this one having had the same bucket."""
+        whole window the two add up to the share. They depend on the settings alone, because after a
+        restart the next process relies on this one having had the same bucket."""
         window, linger = self.calls.window, self.calls.linger
         budget = (1 - CALL_TRANSIT_MARGIN) * share * window
         depth = (1 - MAX_CALL_BOUND_SHARE) * budget
@@ -252,11 +252,11 @@
             depth = max(depth, longest * (window - budget) / (window - longest))
         return depth, (budget - depth) / window
 
-    def _charge_previous_life(self) -> None:
-        """Charges this life for the calls of the one before: a restart grants no second share. The previous
-        life may have used all that its bucket allowed in its last moments, and every life has the same
-        bucket. At any moment of its first window this one may therefore use only what such a bucket has
-        gained since the last call of the previous life stopped lingering."""
+    def _charge_predecessor(self) -> None:
+        """Charges this process for the calls of its predecessor: a restart grants no second share. The
+        predecessor may have used all that its bucket allowed in its last moments, and every process has the
+        same bucket. At any moment of its first window this one may therefore use only what such a bucket has
+        gained since the predecessor's last call stopped lingering."""
         bucket = self.calls.bucket
         filled = bucket.rate * (self.now - self.started_at - self.calls.linger)
         bucket.level = min(bucket.level, filled) if self.cold else bucket.depth
@@ -297,7 +297,7 @@
         self.now, self.booted_at = now, booted_at
         if cold != self.cold:
             self.cold = cold
-            self._charge_previous_life()
+            self._charge_predecessor()
         self.advertised_capacity = min(self.advertised_capacity, self._speed_factor()) if cold else 1.0
         self.publish_at = now
 
@@ -806,7 +806,7 @@
         time_out, product = max(TICK_US, min(txn.sla_due, txn.due) - self.now), self.products[txn.product]
         if self.max_call_bound >= 1:
             if self.cold and self.now - self.started_at < self.calls.linger:
-                return 0  # calls of the previous life may still linger beside a whole share of new ones
+                return 0  # the predecessor's calls may still linger beside a whole share of new ones
             usual = LOST_CALL_FACTOR * product.call_times.quantile(HIGH_QUANTILE) * product.terms.sla_time
             lost = int(max(HOLD_TARGET * txn.terms.sla_time, usual))
             if txn.calls_made < 2 and product.kind == INQUIRY and lost + txn.terms.target < time_out:
