--- a/limeridge/net/service.py
+++ b/limeridge/net/service.py
@@ -41,30 +41,39 @@
     News,
     Step,
 )
-from limeridge.net.callers import SWEEP, Callers, Decoder, close_listener
+from limeridge.net.callers import SWEEP_INTERVAL_S, Callers, Decoder, close_listener
 from limeridge.net.kernel import Kernel
 from limeridge.net.ledger import Call, Gate, Ledger
 from limeridge.net.log import Log
 from limeridge.net.nodelist import EVERY, NodeList
 
-GAUGE_WAIT = 0.02  # seconds that a tick waits for its gauges; answers near their due time can't wait long
-GUARD = 0.05  # seconds between two looks for txns past their due time
-CHECK_WAIT = 0.5  # seconds that a deep check may take
-BACKLOG = 512
-LISTEN_EVERY, LISTEN_TRIES = 0.05, 100  # seconds, times that an address which can't be ours is tried
-LISTEN_TOLD = 20  # tries between two log lines of an address that somebody still holds
-OWN = 12  # descriptors of the process besides those of callers and calls: streams, loop, port, links, reports
-PART = 0.15  # seconds before the kill at which the connections that are left are closed in good order
-LAST_CALL = 0.08  # seconds before the kill at which the process ends, whatever is still open
-QUIET = 0.15  # seconds without a connection or an open txn after which a drained instance ends
-READ_AGAIN, READ_TRIES = 0.5, 6  # seconds, times, that a configuration which can't be used is read again
-GARBAGE = 10_000  # objects made and not freed between two collections
-STAY = 0.9  # of the grace, that a draining instance goes on taking txns
-BETWEEN = 0.05  # seconds between two looks at the drain
-LAST_LOOKS = 0.01  # the same once all streams were ended
+GAUGE_TIMEOUT_S = (
+    0.02  # seconds that a tick waits for its gauges; answers near their due time can't wait long
+)
+OVERDUE_CHECK_INTERVAL_S = 0.05  # seconds between two looks for txns past their due time
+DEEP_CHECK_TIMEOUT_S = 0.5  # seconds that a deep check may take
+LISTEN_BACKLOG = 512
+LISTEN_RETRY_S, MAX_LISTEN_RETRIES = 0.05, 100  # seconds, times that an address which can't be ours is tried
+LISTEN_FAILURES_PER_LOG_LINE = 20  # tries between two log lines of an address that somebody still holds
+RESERVED_DESCRIPTORS = (
+    12  # descriptors of the process besides those of callers and calls: streams, loop, port, links, reports
+)
+CLOSE_STREAMS_BEFORE_KILL_S = (
+    0.15  # seconds before the kill at which the connections that are left are closed in good order
+)
+EXIT_BEFORE_KILL_S = 0.08  # seconds before the kill at which the process ends, whatever is still open
+QUIET_PERIOD_S = 0.15  # seconds without a connection or an open txn after which a drained instance ends
+RELOAD_RETRY_S, MAX_RELOAD_RETRIES = (
+    0.5,
+    6,
+)  # seconds, times, that a configuration which can't be used is read again
+GC_THRESHOLD = 10_000  # objects made and not freed between two collections
+ACCEPTING_SHARE_OF_GRACE = 0.9  # of the grace, that a draining instance goes on taking txns
+DRAIN_CHECK_INTERVAL_S = 0.05  # seconds between two looks at the drain
+FINAL_DRAIN_CHECK_INTERVAL_S = 0.01  # the same once all streams were ended
 
 # The file anew, by what is in force and the time in microseconds.
-Reread = Callable[[Setup, int], Steps[Setup]]
+ReadSetup = Callable[[Setup, int], Steps[Setup]]
 
 
 class Peers(Protocol):
@@ -81,24 +90,24 @@
 class Job:
     """One txn in hand: its news in order, for the one handler that reads them."""
 
-    def __init__(self, intake: Intake, may_skip: bool) -> None:
+    def __init__(self, intake: Intake, may_skip_calls: bool) -> None:
         self.intake = intake
-        self.may_skip = may_skip  # by the revision under which it arrived
-        self.news: deque[News] = deque()
-        self.waiting: Deferred[News] | None = None
+        self.may_skip_calls = may_skip_calls  # by the revision under which it arrived
+        self.events: deque[News] = deque()
+        self.waiting_handler: Deferred[News] | None = None
         self.call: Call | None = None
         self.blocked: Blocked | None = None
 
-    def next(self) -> Deferred[News]:
+    def next_event(self) -> Deferred[News]:
         """To be asked for only where no news stand by."""
-        self.waiting = Deferred()
-        return self.waiting
+        self.waiting_handler = Deferred()
+        return self.waiting_handler
 
-    def tell(self, news: News) -> bool:
+    def deliver(self, news: News) -> bool:
         """False where the handler waits for something else."""
-        waiting, self.waiting = self.waiting, None
+        waiting, self.waiting_handler = self.waiting_handler, None
         if waiting is None:
-            self.news.append(news)
+            self.events.append(news)
             return False
         waiting.callback(news)
         return True
@@ -112,16 +121,16 @@
         setup: Setup,
         reactor: Any,
         log: Log,
-        reread: Reread,
+        read_setup: ReadSetup,
         unix: Callable[[], float] = time.time,
     ) -> None:
-        self.setup, self.reactor, self.log, self.reread = setup, reactor, log, reread
-        self.loading: Steps[Setup] | None = None  # of a new configuration
-        self.reading: Any = None  # the timer of its next turn, or of another try
-        self.leaving, self.shut = False, False
-        self.noticed_at: float | None = None  # the notice to leave, by its signal
+        self.setup, self.reactor, self.log, self.read_setup = setup, reactor, log, read_setup
+        self.pending_load: Steps[Setup] | None = None  # of a new configuration
+        self.load_timer: Any = None  # the timer of its next turn, or of another try
+        self.draining, self.stopped_accepting = False, False
+        self.signalled_at: float | None = None  # the notice to leave, by its signal
         self.kill_at = 0.0
-        self.parted = False  # all streams were ended, and none can be opened any more
+        self.streams_closed = False  # all streams were ended, and none can be opened any more
         self.quiet_since: float | None = None
         self.ended = False
         self.jobs: dict[str, Job] = {}
@@ -131,7 +140,7 @@
             setup.seed,
             reactor,
             log,
-            self.wake,
+            self.run_tick,
             min(RESULTS_KEPT, budget // 8),
             setup.tenants.quota,
         )
@@ -143,23 +152,23 @@
             Decoder(setup.products, setup.tenants),
             reactor,
             log,
-            most=setup.sockets - to_ledger - spare,
-            slack=max(1, spare - OWN),
-            held_most=budget // 8,
-            unread_most=budget // 8,
+            max_connections=setup.sockets - to_ledger - spare,
+            max_aborts_per_iteration=max(1, spare - RESERVED_DESCRIPTORS),
+            max_held_bytes=budget // 8,
+            max_unread_bytes=budget // 8,
             unix=unix,
         )
         self.kernel = Kernel(self, reactor, setup.kernel.host, setup.kernel.port, log)
         self.ledger = Ledger(reactor, setup.ledger.host, setup.ledger.port, log, to_ledger)
         self.node_list = NodeList(setup.name, setup.node_list.host, setup.node_list.port)
-        self.skips = skips_of(setup)
-        self.port: Any = None
+        self.skippable_calls = calls_skippable_by_product(setup)
+        self.listening_port: Any = None
         self.exit_code = 0
-        self.work_seen = False
+        self.run_succeeded = False
         self.loops: list[LoopingCall] = []
         self.peers: Peers | None = None
 
-    def join(self, peers: Peers) -> None:
+    def attach_peers(self, peers: Peers) -> None:
         """Before the start. Without peers nothing of this is there."""
         self.peers = peers
         share = peers.share()
@@ -183,31 +192,37 @@
             settings=dict(setup.plain),
             tenants=len(setup.tenants),
         )
-        self.guarded(lambda: self.listen(LISTEN_TRIES))
-        self.open_reports()
-        self.guarded(self.kernel.connect)
+        self.run_guarded(lambda: self.listen(MAX_LISTEN_RETRIES))
+        self.open_report_socket()
+        self.run_guarded(self.kernel.connect)
         if self.peers is not None:
-            self.guarded(self.peers.start)
-        for call, every in ((self.callers.sweep, SWEEP), (self.report, EVERY), (self.guard, GUARD)):
-            self.repeat(call, every)
-
-    def repeat(self, call: Callable[[], None], every: float) -> None:
-        loop = LoopingCall(self.guarded, call)
+            self.run_guarded(self.peers.start)
+        for call, every in (
+            (self.callers.sweep, SWEEP_INTERVAL_S),
+            (self.report, EVERY),
+            (self.check_overdue, OVERDUE_CHECK_INTERVAL_S),
+        ):
+            self.call_every(call, every)
+
+    def call_every(self, call: Callable[[], None], every: float) -> None:
+        loop = LoopingCall(self.run_guarded, call)
         loop.clock = self.reactor
         loop.start(every, now=False)
         self.loops.append(loop)
 
-    def listen(self, tries: int, told: int = 0) -> None:
+    def listen(self, tries: int, failures: int = 0) -> None:
         """A predecessor under this address may still be dying, for as long as its own notice lets it: while
         somebody holds the address it is tried again without end. One that can't be ours is given up."""
         listen = self.setup.listen
-        if self.leaving:
+        if self.draining:
             return
         try:
-            self.port = self.reactor.listenTCP(listen.port, self.callers, BACKLOG, listen.host)
+            self.listening_port = self.reactor.listenTCP(
+                listen.port, self.callers, LISTEN_BACKLOG, listen.host
+            )
         except CannotListenError as trouble:
             held = getattr(trouble.socketError, "errno", None) == errno.EADDRINUSE
-            if told % LISTEN_TOLD == 0 or not held:
+            if failures % LISTEN_FAILURES_PER_LOG_LINE == 0 or not held:
                 self.log.event(
                     "listen",
                     "taken" if held else "unusable",
@@ -216,13 +231,13 @@
                 )
             if held or tries:
                 self.reactor.callLater(
-                    LISTEN_EVERY, self.guarded, partial(self.listen, tries - (not held), told + 1)
+                    LISTEN_RETRY_S, self.run_guarded, partial(self.listen, tries - (not held), failures + 1)
                 )
             else:
                 self.exit_code = 1
                 self.stop()
 
-    def open_reports(self) -> None:
+    def open_report_socket(self) -> None:
         """Tried again with each report until it is there: a start in a moment without descriptors or ports
         must not leave the instance unlisted for its whole life."""
         try:
@@ -232,19 +247,19 @@
         except (OSError, CannotListenError) as trouble:
             self.log.event("reports", "no-socket", why=str(trouble)[:200])
 
-    def observed(self, event: Mapping[str, Any]) -> None:
+    def log_reactor_failure(self, event: Mapping[str, Any]) -> None:
         """What went wrong where only the reactor was there to catch it."""
         failure = event.get("log_failure")
         if failure is not None:
             self.log.fault("service-fault", failure.value, code="reactor")
 
-    def guarded(self, call: Callable[[], None]) -> None:
+    def run_guarded(self, call: Callable[[], None]) -> None:
         try:
             call()
         except Exception as trouble:
             self.log.fault("service-fault", trouble)
 
-    def met(self, failure: Failure, event: str) -> None:
+    def log_failure(self, failure: Failure, event: str) -> None:
         self.log.fault(event, failure.value)
 
     # ---- a txn
@@ -253,10 +268,10 @@
         if intake.ref in self.jobs:
             self.log.event("bad-message", "ref in use")
             intake.answer(Answer(Kind.VOIDED, why="ref in use"))
-            self.callers.released(intake)
+            self.callers.release(intake)
             return
-        job = self.jobs[intake.ref] = Job(intake, self.skips[intake.product])
-        ensureDeferred(self.handle(job)).addErrback(self.met, "txn-fault")
+        job = self.jobs[intake.ref] = Job(intake, self.skippable_calls[intake.product])
+        ensureDeferred(self.handle(job)).addErrback(self.log_failure, "txn-fault")
 
     async def handle(self, job: Job) -> None:
         intake, step = job.intake, None
@@ -266,7 +281,7 @@
                     step = await self.next_step(job, step)
                     if step.do is Do.DONE:
                         return
-                    self.carry_out(job, step)
+                    self.execute_step(job, step)
                 except Exception as trouble:
                     self.log.fault("txn-fault", trouble, ref=intake.ref)
                     step = self.facade.give_up(intake, "defect")
@@ -277,37 +292,37 @@
                 job.call.abandon()
             self.jobs.pop(intake.ref, None)
             self.kernel.over(intake.ref)
-            self.callers.released(intake)
+            self.callers.release(intake)
 
     async def next_step(self, job: Job, step: Step | None) -> Step:
         if step is None:
             return await self.facade.pick(job.intake)
-        news = job.news.popleft() if job.news else await job.next()
+        news = job.events.popleft() if job.events else await job.next_event()
         if isinstance(news, Called) and news.end is End.OK:
-            self.reply(job, news.body)
+            self.forward_reply(job, news.body)
         elif isinstance(news, Blocked):
             job.blocked = news
         return await self.facade.report(job.intake, news)
 
-    def reply(self, job: Job, body: bytes) -> None:
+    def forward_reply(self, job: Job, body: bytes) -> None:
         if job.blocked is not None:
-            self.kernel.reply(job.intake.ref, body, job.blocked.cursor, job.may_skip)
+            self.kernel.reply(job.intake.ref, body, job.blocked.cursor, job.may_skip_calls)
 
-    def carry_out(self, job: Job, step: Step) -> None:
+    def execute_step(self, job: Job, step: Step) -> None:
         intake = job.intake
         if step.do is Do.RUN:
             self.kernel.start(intake.ref, intake.entry, intake.doc)
         elif step.do is Do.CALL and job.blocked is not None:
             job.call = self.ledger.call(intake.ref, step.time_out, job.blocked.body)
-            job.call.done.addCallback(lambda called: self.tell(job, called))
+            job.call.done.addCallback(lambda called: self.deliver(job, called))
         elif step.do is Do.GO_ON and job.blocked is not None:
             self.kernel.go_on(intake.ref, job.blocked.cursor)
 
-    def tell(self, job: Job, news: News) -> None:
-        if not job.tell(news):
+    def deliver(self, job: Job, news: News) -> None:
+        if not job.deliver(news):
             self.facade.interrupt(job.intake)
 
-    def gone(self, intake: Intake) -> None:
+    def withdraw(self, intake: Intake) -> None:
         self.facade.gone(intake)
 
     # ---- what the kernel tells
@@ -318,9 +333,9 @@
     def heard(self, ref: str, news: Ended | Blocked) -> bool:
         job = self.jobs.get(ref)
         if isinstance(news, Ended) and news.end is End.OK:
-            self.work_seen = True
+            self.run_succeeded = True
         if job is not None:
-            self.tell(job, news)
+            self.deliver(job, news)
         return job is not None
 
     # ---- what callers are told
@@ -334,189 +349,197 @@
     def check(self, deep: bool, answer: Callable[[bool], None]) -> None:
         """From store, as the brain wants it. Whether work gets done is asked of the kernel only where no
         run has ended well since the last such question."""
-        ready = self.facade.healthy and self.kernel.present and not self.leaving
-        if not deep or not ready or self.work_seen or not self.kernel.ready:
-            self.work_seen = self.work_seen and not deep
+        ready = self.facade.healthy and self.kernel.present and not self.draining
+        if not deep or not ready or self.run_succeeded or not self.kernel.ready:
+            self.run_succeeded = self.run_succeeded and not deep
             answer(ready)
         else:
-            self.kernel.prove(CHECK_WAIT).addCallback(answer)
+            self.kernel.prove(DEEP_CHECK_TIMEOUT_S).addCallback(answer)
 
     # ---- time
 
-    def guard(self) -> None:
-        self.take_share()
+    def check_overdue(self) -> None:
+        self.update_share()
         self.facade.guard()
 
-    def take_share(self) -> None:
+    def update_share(self) -> None:
         """The brain plans by the share as it is now; the gate sees to it that a call keeps to it."""
         share = None if self.peers is None else self.peers.share()
         if share is not None:
             self.facade.allow(share)
 
-    def wake(self) -> None:
-        self.take_share()
-        self.kernel.gauges(GAUGE_WAIT).addCallback(
+    def run_tick(self) -> None:
+        self.update_share()
+        self.kernel.gauges(GAUGE_TIMEOUT_S).addCallback(
             lambda figures: self.facade.tick(self.facade.now(), figures)
-        ).addErrback(self.met, "tick-fault")
+        ).addErrback(self.log_failure, "tick-fault")
 
     def report(self) -> None:
         if self.node_list.transport is None:
-            self.open_reports()
-        if self.kernel.present and not self.leaving:  # without its kernel it can start nothing
+            self.open_report_socket()
+        if self.kernel.present and not self.draining:  # without its kernel it can start nothing
             self.node_list.report(self.facade.healthy)
 
     # ---- new configuration
 
-    def reload(self, tries: int = READ_TRIES) -> None:
+    def reload(self, tries: int = MAX_RELOAD_RETRIES) -> None:
         """At SIGHUP, also while draining. A file that can't be used, or is not whole yet, changes nothing."""
-        self.stop_loading()
-        self.loading = self.reread(self.setup, self.facade.now())
-        self.load(tries)
+        self.cancel_load()
+        self.pending_load = self.read_setup(self.setup, self.facade.now())
+        self.continue_load(tries)
 
-    def load(self, tries: int) -> None:
+    def continue_load(self, tries: int) -> None:
         """One turn's share of the reading; requests are served between two."""
-        if self.loading is None:
+        if self.pending_load is None:
             return
         try:
-            new = run_turn(self.loading)
+            new = run_turn(self.pending_load)
         except Unusable as unusable:
-            self.loading = None
+            self.pending_load = None
             self.log.event("reload", "unusable", why=" ".join(str(unusable).split()), tries_left=tries)
             if tries:
                 again = partial(self.reload, tries - 1)
-                self.reading = self.reactor.callLater(READ_AGAIN, self.guarded, again)
+                self.load_timer = self.reactor.callLater(RELOAD_RETRY_S, self.run_guarded, again)
             return
         if new is None:
-            self.reading = self.reactor.callLater(0, self.guarded, partial(self.load, tries))
+            self.load_timer = self.reactor.callLater(0, self.run_guarded, partial(self.continue_load, tries))
             return
-        self.loading = None
-        self.take(new)
+        self.pending_load = None
+        self.apply_setup(new)
 
-    def stop_loading(self) -> None:
+    def cancel_load(self) -> None:
         """Whatever is being read is not wanted any more."""
-        if self.reading is not None and self.reading.active():
-            self.reading.cancel()
-        if self.loading is not None:
-            self.loading.close()
-            self.loading = None
+        if self.load_timer is not None and self.load_timer.active():
+            self.load_timer.cancel()
+        if self.pending_load is not None:
+            self.pending_load.close()
+            self.pending_load = None
 
-    def take(self, new: Setup) -> None:
+    def apply_setup(self, new: Setup) -> None:
         """Between two requests: whoever arrived keeps the revision that it arrived under. Open txns, runs and
         what the brain has learned hang on what does not change live: that stays until a restart."""
         fixed = frozenset[str]() if self.peers is None else FIXED_FOR_MEMBERS
         revision = revised(self.setup, new, fixed)
         setup = revision.setup
         self.facade.revise(setup.plain, setup.tenants.quota)
-        self.setup, self.callers.decoder.tenants, self.skips = setup, setup.tenants, skips_of(setup)
+        self.setup, self.callers.decoder.tenants, self.skippable_calls = (
+            setup,
+            setup.tenants,
+            calls_skippable_by_product(setup),
+        )
         self.log.event("reload", "taken", moved=[*revision.moved], needs_restart=[*revision.needs_restart])
         parts: dict[str, Any] = {"kernel": self.kernel, "ledger": self.ledger, "node_list": self.node_list}
         for name in revision.moved:
             part, address = parts[name], getattr(setup, name)
-            self.guarded(partial(part.move, address.host, address.port))
-        self.guarded(self.report)
+            self.run_guarded(partial(part.move, address.host, address.port))
+        self.run_guarded(self.report)
 
     # ---- drain
 
-    def noticed(self, number: int) -> None:
+    def record_signal(self, number: int) -> None:
         """In the handler of a signal itself. The kill follows the notice to leave by its time, and a turn of
         the loop that takes long puts off what is done about it."""
-        if number in (signal.SIGTERM, signal.SIGINT) and self.noticed_at is None:
-            self.noticed_at = self.reactor.seconds()
+        if number in (signal.SIGTERM, signal.SIGINT) and self.signalled_at is None:
+            self.signalled_at = self.reactor.seconds()
 
     def leave(self) -> None:
-        if self.leaving:
+        if self.draining:
             self.log.event("drain", "again")
             return
-        self.leaving = True
+        self.draining = True
         now = self.reactor.seconds()
-        noticed_at = now if self.noticed_at is None else self.noticed_at
+        signalled_at = now if self.signalled_at is None else self.signalled_at
         stop = self.setup.stop / 1_000_000
-        self.kill_at = noticed_at + stop
+        self.kill_at = signalled_at + stop
         self.log.event("drain", "begun", owed=self.facade.owed(), connections=len(self.callers.connections))
-        self.guarded(lambda: self.node_list.report(False))
+        self.run_guarded(lambda: self.node_list.report(False))
         if self.peers is not None:
-            self.guarded(self.peers.leave)
-        self.guarded(lambda: self.facade.leave(self.setup.stop, int((now - noticed_at) * 1_000_000)))
+            self.run_guarded(self.peers.leave)
+        self.run_guarded(lambda: self.facade.leave(self.setup.stop, int((now - signalled_at) * 1_000_000)))
         # Against callers that hear of it late, while a successor is cold or not listed yet: what comes within
         # the grace may still run, so the door stays open for most of it.
         grace: Any = self.setup.plain.get("rules.drain_grace", 0)
-        self.at(noticed_at + min(STAY * grace / 1_000_000, stop / 2), self.shut_door)
+        self.call_at(
+            signalled_at + min(ACCEPTING_SHARE_OF_GRACE * grace / 1_000_000, stop / 2), self.stop_accepting
+        )
         # All is answered by then. Answers that wait for their reader, and what arrives in these moments, must
         # not be lost to sockets that the end of the process closes over unread bytes. Of a short notice one
         # half is left for what lies unread when it comes.
-        self.at(max(self.kill_at - PART, noticed_at + stop / 2), self.part)
-        self.at(self.kill_at - LAST_CALL, self.last_call)
-        self.repeat(self.drained, BETWEEN)
+        self.call_at(
+            max(self.kill_at - CLOSE_STREAMS_BEFORE_KILL_S, signalled_at + stop / 2), self.close_streams
+        )
+        self.call_at(self.kill_at - EXIT_BEFORE_KILL_S, self.finish_before_kill)
+        self.call_every(self.check_drained, DRAIN_CHECK_INTERVAL_S)
 
-    def at(self, time: float, call: Callable[[], None]) -> None:
+    def call_at(self, time: float, call: Callable[[], None]) -> None:
         """Calls at this time of the reactor's clock, or in the next turn where it is past."""
-        self.reactor.callLater(max(0.0, time - self.reactor.seconds()), self.guarded, call)
+        self.reactor.callLater(max(0.0, time - self.reactor.seconds()), self.run_guarded, call)
 
-    def shut_door(self) -> None:
-        if self.shut:
+    def stop_accepting(self) -> None:
+        if self.stopped_accepting:
             return
-        self.shut = True
-        self.guarded(self.callers.farewell)
-        if self.port is not None:
-            self.guarded(lambda: close_listener(self.port))
+        self.stopped_accepting = True
+        self.run_guarded(self.callers.send_farewells)
+        if self.listening_port is not None:
+            self.run_guarded(lambda: close_listener(self.listening_port))
 
-    def part(self) -> None:
+    def close_streams(self) -> None:
         """What lies unread now is read in this turn yet; then the streams are ended."""
-        self.shut_door()
-        self.reactor.callLater(0, self.guarded, self.end_streams)
+        self.stop_accepting()
+        self.reactor.callLater(0, self.run_guarded, self.finish_streams)
 
-    def end_streams(self) -> None:
+    def finish_streams(self) -> None:
         self.facade.tick(self.facade.now(), None)  # what this turn of the loop read is answered first
-        self.callers.part()
-        self.parted = True
-        self.repeat(self.drained, LAST_LOOKS)
+        self.callers.close_all()
+        self.streams_closed = True
+        self.call_every(self.check_drained, FINAL_DRAIN_CHECK_INTERVAL_S)
 
-    def drained(self) -> None:
+    def check_drained(self) -> None:
         """Ends when nobody is connected and nothing is open: for a while where somebody may still connect."""
         now = self.reactor.seconds()
-        busy = self.jobs or self.callers.connections or not self.shut
+        busy = self.jobs or self.callers.connections or not self.stopped_accepting
         self.quiet_since = None if busy else self.quiet_since if self.quiet_since is not None else now
-        if self.quiet_since is not None and (self.parted or now - self.quiet_since >= QUIET):
-            self.end("done")
+        if self.quiet_since is not None and (self.streams_closed or now - self.quiet_since >= QUIET_PERIOD_S):
+            self.finish("done")
 
-    def last_call(self) -> None:
+    def finish_before_kill(self) -> None:
         """Just before the kill, whatever is still open."""
-        self.end("time-up")
+        self.finish("time-up")
 
-    def end(self, code: str) -> None:
+    def finish(self, code: str) -> None:
         if self.ended:
             return
         self.ended = True
         self.log.event("drain", code, owed=self.facade.owed(), connections=len(self.callers.connections))
         self.stop()
 
-    def notices(self) -> dict[int, Callable[[], None]]:
+    def signal_handlers(self) -> dict[int, Callable[[], None]]:
         """What each signal does, in the reactor's turn."""
         return {
             signal.SIGTERM: self.leave,
             signal.SIGINT: self.leave,
-            signal.SIGHUP: lambda: self.guarded(self.reload),
+            signal.SIGHUP: lambda: self.run_guarded(self.reload),
         }
 
     def stop(self) -> None:
-        self.stop_loading()
+        self.cancel_load()
         for loop in self.loops:
             if loop.running:
                 loop.stop()
         if self.peers is not None:
-            self.guarded(self.peers.stop)
+            self.run_guarded(self.peers.stop)
         self.kernel.stop()
         self.log.close_span()
         self.reactor.callLater(0, self.reactor.stop)
 
 
-def skips_of(setup: Setup) -> list[bool]:
+def calls_skippable_by_product(setup: Setup) -> list[bool]:
     """By class, whether its runs can go on without their calls."""
     values: Any = setup.plain.get("instance.skip_values") or []
     return [number < len(values) and values[number] > 0 for number in range(len(setup.products))]
 
 
-def run(setup: Setup, reread: Reread, peers: Callable[[Setup, Any, Log], Peers] | None = None) -> int:
+def run(setup: Setup, read_setup: ReadSetup, peers: Callable[[Setup, Any, Log], Peers] | None = None) -> int:
     """`peers` makes the part of membership; it raises Unusable where its settings don't fit the
     instance's."""
     from twisted.internet import reactor as the_reactor
@@ -528,33 +551,33 @@
     # What the machine grants may be less than what the file says: the parts are shared out of what there is.
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
 
-    def granted(setup: Setup) -> Setup:
+    def cap_sockets(setup: Setup) -> Setup:
         return setup if hard == resource.RLIM_INFINITY else replace(setup, sockets=min(hard, setup.sockets))
 
-    def reread_granted(before: Setup, now: int) -> Steps[Setup]:
-        return granted((yield from reread(before, now)))
+    def read_granted_setup(before: Setup, now: int) -> Steps[Setup]:
+        return cap_sockets((yield from read_setup(before, now)))
 
-    setup = granted(setup)
+    setup = cap_sockets(setup)
     resource.setrlimit(resource.RLIMIT_NOFILE, (setup.sockets, hard))
-    instance = Instance(setup, reactor, log, reread_granted)
+    instance = Instance(setup, reactor, log, read_granted_setup)
     if peers is not None:
-        instance.join(peers(setup, reactor, log))
+        instance.attach_peers(peers(setup, reactor, log))
 
-    def handler(taken: Callable[[], None]) -> Callable[[int, object], None]:
+    def handler(action: Callable[[], None]) -> Callable[[int, object], None]:
         def handle(number: int, _: object) -> None:
-            instance.noticed(number)
-            reactor.callFromThread(taken)
+            instance.record_signal(number)
+            reactor.callFromThread(action)
 
         return handle
 
-    for notice, taken in instance.notices().items():
-        signal.signal(notice, handler(taken))
+    for number, action in instance.signal_handlers().items():
+        signal.signal(number, handler(action))
     signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP])  # one that came meanwhile is taken now
     # Begun, as Twisted keeps 65,536 events for whoever begins later, with all that they hold on to.
-    observer: Any = instance.observed
+    observer: Any = instance.log_reactor_failure
     globalLogBeginner.beginLoggingTo([observer], discardBuffer=True, redirectStandardIO=False)
     gc.collect()
-    gc.set_threshold(GARBAGE)  # against a look for cycles every few txns; few are made
+    gc.set_threshold(GC_THRESHOLD)  # against a look for cycles every few txns; few are made
     gc.freeze()  # what stands now stays; a collection need not look at it again
     reactor.callWhenRunning(instance.start)
     reactor.run(installSignalHandlers=False)
--- a/limeridge/scale/load.py
+++ b/limeridge/scale/load.py
@@ -28,7 +28,7 @@
 import orjson
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-from limeridge.net.callers import Frames, frame
+from limeridge.net.callers import FrameParser, encode_frame
 from limeridge.net.kernel import Lines
 
 CONNECT_TIMEOUT = 5.0  # seconds
@@ -172,11 +172,11 @@
     """A caller of the instance, as `limeridge/net/callers.py` describes it."""
 
     def __init__(self, tenants: Sequence[str], window: int) -> None:
-        self.tenants, self.window, self.frames = tenants, window, Frames()
+        self.tenants, self.window, self.frames = tenants, window, FrameParser()
 
     def greeting(self) -> bytes:
         """A health check: a connection that has sent nothing may lose its place to a newcomer."""
-        return frame(b'{"jsonrpc":"2.0","id":1,"method":"heartbeat"}')
+        return encode_frame(b'{"jsonrpc":"2.0","id":1,"method":"heartbeat"}')
 
     def message(self, request: Request) -> bytes:
         params: dict[str, object] = {
@@ -193,7 +193,7 @@
         if method == "book":
             params["k"] = f"key-{self.window}-{request.number}"
         body = {"jsonrpc": "2.0", "id": request.number + 1, "method": method, "params": params}
-        return frame(orjson.dumps(body))
+        return encode_frame(orjson.dumps(body))
 
     def answers(self, data: bytes) -> Iterator[Answered]:
         """Number 0 answers the greeting; a farewell answers nothing."""
@@ -207,7 +207,7 @@
     """A caller that sends health checks alone: each is answered in the reactor's turn that reads it."""
 
     def message(self, request: Request) -> bytes:
-        return frame(b'{"jsonrpc":"2.0","id":%d,"method":"heartbeat"}' % (request.number + 1))
+        return encode_frame(b'{"jsonrpc":"2.0","id":%d,"method":"heartbeat"}' % (request.number + 1))
 
 
 class KernelLines:
--- a/limeridge/scale/real_instance.py
+++ b/limeridge/scale/real_instance.py
@@ -19,7 +19,7 @@
 
 import orjson
 
-from limeridge.net.callers import frame
+from limeridge.net.callers import encode_frame
 from limeridge.scale.below import LOOPBACK, Ports
 from limeridge.scale.bounds import Need
 from limeridge.scale.meter import processor_seconds
@@ -29,7 +29,7 @@
 LOOK_EVERY = 0.002  # seconds between two looks
 BAD_CONFIGURATION = 2  # exit code
 QUOTA = 40.0  # requests a second of each tenant
-HEARTBEAT = frame(b'{"jsonrpc":"2.0","id":1,"method":"heartbeat"}')
+HEARTBEAT = encode_frame(b'{"jsonrpc":"2.0","id":1,"method":"heartbeat"}')
 RELOAD_WINDOW = 2.5  # seconds over which a reload is watched
 TENANTS_RELOADED = 60_000  # for each so many tenants a second more
 MOST_TENANTS = 1_000_000
--- a/limeridge/sim/bad_callers.py
+++ b/limeridge/sim/bad_callers.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field, replace
 from typing import TYPE_CHECKING
 
-from limeridge.net.service import PART
+from limeridge.net.service import CLOSE_STREAMS_BEFORE_KILL_S
 from limeridge.sim.plan import MS, PROTOCOL_KINDS, Product, instance_ip
 from limeridge.sim.timeline import SECOND
 from limeridge.sim.wires import Asked, Farewell, LineClosing, Passed, SenderEnded
@@ -142,7 +142,7 @@
             if sender.moment is Moment.PARTING
         ]
         if senders:
-            parts_after = max(plan.stop - int(PART * SECOND), plan.stop // 2)
+            parts_after = max(plan.stop - int(CLOSE_STREAMS_BEFORE_KILL_S * SECOND), plan.stop // 2)
             timeline.at(timeline.now + parts_after, None, "parting", self._send_unread, senders)
 
     def _cross(self, sender: LateSender, event: Farewell | LineClosing) -> None:
--- a/limeridge/sim/world.py
+++ b/limeridge/sim/world.py
@@ -180,7 +180,7 @@
         self.instance = Instance(setup, self.reactor, log, reread, self.unix)
         if plan.fleet is not None:
             self.link = self.linked(plan.fleet, log)
-            self.instance.join(self.link)
+            self.instance.attach_peers(self.link)
         self.reactor.callWhenRunning(self.instance.start)
         if self.paused:
             self.life.paused = kernel_life.paused = True
@@ -255,8 +255,8 @@
 
     def signal(self, number: int) -> None:
         if self.instance is not None:
-            self.instance.noticed(number)
-            self.reactor.callFromThread(self.instance.notices()[number])
+            self.instance.record_signal(number)
+            self.reactor.callFromThread(self.instance.signal_handlers()[number])
 
     def exited(self) -> None:
         """By itself."""
@@ -319,7 +319,7 @@
 
     def fault(self, failure: Failure) -> None:
         if self.instance is not None:
-            self.instance.observed({"log_failure": failure})
+            self.instance.log_reactor_failure({"log_failure": failure})
 
     def broke(self, broken: Broken) -> None:
         self.world.broke(broken, self.name)
@@ -1016,8 +1016,8 @@
             "questions to the kernel": max(0, len(instance.kernel.asked) - 2),
             "calls": instance.ledger.connections,
             "waiting calls": sum(not call.over for call in instance.ledger.waiting),
-            "bytes held": instance.callers.held,
-            "bytes unread": instance.callers.unread,
+            "bytes held": instance.callers.held_bytes,
+            "bytes unread": instance.callers.unread_bytes,
             "runs": books.in_runs(),
             "calls in hand": len(facade.brain.calls.out),
             "connections no caller has": sum(
@@ -1026,7 +1026,9 @@
             "descriptors": max(0, len(machine.reactor.sockets) - len(instance.callers.connections) - 1)
             if machine.link is None
             else 0,  # tables come and go over connections of members
-            "strangers": max(0, len(instance.callers.strangers) - len(instance.callers.connections)),
+            "strangers": max(
+                0, len(instance.callers.awaiting_first_request) - len(instance.callers.connections)
+            ),
             "keys": max(0, len(facade.keyed) - max(facade.prune_at, 512)),
         }
         return ", ".join(f"{name}: {count}" for name, count in counts.items() if count)
--- a/limeridge/trial/soak_defects.py
+++ b/limeridge/trial/soak_defects.py
@@ -43,7 +43,9 @@
         '            self.log.event("drain", "again")\n',
         '            self.log.event("drain", "again")\n'
         "            self.ended, self.kill_at = True, self.reactor.seconds() + self.setup.stop / 1_000_000\n"
-        "            self.reactor.callLater(self.kill_at - self.reactor.seconds() - LAST_CALL, self.stop)\n",
+        "            self.reactor.callLater(\n"
+        "                self.kill_at - self.reactor.seconds() - EXIT_BEFORE_KILL_S, self.stop\n"
+        "            )\n",
         "the time of the kill is taken from the last signal",
     ),
     Mutant(
@@ -80,7 +82,7 @@
     Mutant(
         "farewell-left-out",
         CALLERS,
-        "        for connection in list(self.connections):\n            connection.say_farewell()\n",
+        "        for connection in list(self.connections):\n            connection.send_farewell()\n",
         "        return\n",
         "no farewell is said in a drain",
     ),
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -18,7 +18,7 @@
 from limeridge.config import reading, setup_of
 from limeridge.facade import OUTCOMES, Answer, Blocked, Called, Ended, Facade, Intake, Kind
 from limeridge.interface import Decision, Outcome, Stage, Txn, Verb
-from limeridge.net.callers import Frames, frame
+from limeridge.net.callers import FrameParser, encode_frame
 from limeridge.net.service import Instance
 
 MOST = 30.0  # seconds that a condition may take, however slow the machine
@@ -580,11 +580,11 @@
         return str(params["i"])
 
     def send(self, caller: Any, **message: Any) -> None:
-        caller.dataReceived(frame(orjson.dumps(message)))
+        caller.dataReceived(encode_frame(orjson.dumps(message)))
 
     def answers(self, caller: Any) -> list[dict[str, Any]]:
         self.reactor.advance(0)
-        return [orjson.loads(body) for body in Frames().feed(caller.transport.sent())]
+        return [orjson.loads(body) for body in FrameParser().feed(caller.transport.sent())]
 
     def lose(self, protocol: Any, clean: bool = True) -> None:
         protocol.connectionLost(Failure(ConnectionDone() if clean else ConnectionLost()))
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -20,7 +20,7 @@
 from twisted.internet.epollreactor import EPollReactor
 
 from limeridge.config import reading, setup_of
-from limeridge.net.callers import Frames, frame
+from limeridge.net.callers import FrameParser, encode_frame
 from limeridge.net.service import Instance
 
 
@@ -86,7 +86,7 @@
 class CallerEnd(Far):
     def __init__(self, made: socket.socket) -> None:
         super().__init__(made)
-        self.frames = Frames()
+        self.frames = FrameParser()
         self.heard: list[dict[str, Any]] = []
         self.next_id = 0
 
@@ -123,11 +123,11 @@
             "doc": "Ym9keQ==",
         } | more
         body = {"jsonrpc": "2.0", "id": self.next_id, "method": method, "params": params}
-        return frame(orjson.dumps(body)), str(params["i"])
+        return encode_frame(orjson.dumps(body)), str(params["i"])
 
     def check(self) -> None:
         self.next_id += 1
-        self.write(frame(orjson.dumps({"jsonrpc": "2.0", "id": self.next_id, "method": "heartbeat"})))
+        self.write(encode_frame(orjson.dumps({"jsonrpc": "2.0", "id": self.next_id, "method": "heartbeat"})))
 
 
 class KernelEnd(Far):
--- a/tests/test_configuration_live.py
+++ b/tests/test_configuration_live.py
@@ -278,7 +278,7 @@
         else:
             at[last] = value
     net.instance.reload()
-    while net.instance.loading is not None:
+    while net.instance.pending_load is not None:
         net.reactor.advance(0)
     line: dict[str, Any] = net.log.lines[-1]
     assert line["event"] == "reload"
@@ -310,7 +310,7 @@
     reload(net, familyInfo__classSkipWorth=[0.0, 0.0], familyInfo__idle=7_000_000)
     assert net.instance.idle_limit() == 7_000_000
     assert net.instance.facade.skews[0] == 4_000_000, "it may have been read as late as that"
-    assert not net.instance.skips[0]
+    assert not net.instance.skippable_calls[0]
     [entry] = net.instance.facade.open.values()
     assert entry.txn.terms.expiry == 4_000_000 and entry.txn.due - entry.txn.arrived == 3_000_000
     net.pass_time(0.5)  # past the new deadline
@@ -382,7 +382,7 @@
     assert list(look.ladder[0].costs) == costs and brain.call_cap == cap and costs
     assert abs(2 * look.run_times.quantile(0.5) - usual) < 0.5 * usual
     assert [product.terms.skip_value for product in brain.products] == [0.0, 0.25]
-    assert net.instance.skips == [False, True]
+    assert net.instance.skippable_calls == [False, True]
 
 
 def test_a_setting_that_the_file_has_no_more_goes_back_to_its_default() -> None:
@@ -454,7 +454,7 @@
     elif spoil == "no list":
         bad["settings"]["accounts"] = {}
     data = orjson.dumps(bad)
-    net.instance.reread = lambda before, now: steps_of(
+    net.instance.read_setup = lambda before, now: steps_of(
         data[:60_000] if spoil == "half" else data, before, now
     )
     net.instance.reload()
@@ -464,7 +464,7 @@
     assert net.instance.setup is setup and net.instance.facade.brain.settings is settings
     assert net.instance.callers.decoder.tenants is setup.tenants
     good = orjson.dumps(many(3_000, records="127.0.3.2:8901"))
-    net.instance.reread = lambda before, now: steps_of(good, before, now)
+    net.instance.read_setup = lambda before, now: steps_of(good, before, now)
     net.pass_time(2.0)
     assert net.log.codes("reload") == ["unusable", "taken"] and len(net.instance.setup.tenants) == 3_000
 
@@ -476,12 +476,12 @@
     caller, before = net.caller(), net.instance.setup
     net.file = many(2_000)
     net.instance.reload()
-    assert net.instance.loading is not None and net.instance.setup is before
+    assert net.instance.pending_load is not None and net.instance.setup is before
     net.ask(caller, 1)
     assert len(net.instance.facade.open) == 1, "its tenant is known in the old revision alone"
     net.file = many(1_000)
     net.instance.reload()
-    assert net.instance.loading is not None and net.instance.setup is before
+    assert net.instance.pending_load is not None and net.instance.setup is before
     net.pass_time(1.0)
     assert net.log.codes("reload") == ["taken"] and len(net.instance.setup.tenants) == 1_000
     net.ask(caller, 2)
@@ -496,8 +496,8 @@
     net.instance.leave()
     net.instance.reload()
     net.pass_time(0.2)
-    assert net.log.codes("reload") == ["taken"] and net.instance.leaving
+    assert net.log.codes("reload") == ["taken"] and net.instance.draining
     net.instance.reload()
     net.instance.stop()
     net.pass_time(0.2)
-    assert net.log.codes("reload") == ["taken"] and net.instance.loading is None
+    assert net.log.codes("reload") == ["taken"] and net.instance.pending_load is None
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -24,9 +24,14 @@
 from twisted.python.failure import Failure
 
 from limeridge.facade import End
-from limeridge.net.callers import CLOSE_AFTER, DISCARDED_MOST, PARTING, close_listener
+from limeridge.net.callers import CLOSE_TIMEOUT_S, DISPLACED_DIVISOR, MAX_DISCARDED_BYTES, close_listener
 from limeridge.net.kernel import Dial
-from limeridge.net.service import LAST_CALL, LISTEN_EVERY, LISTEN_TRIES, PART
+from limeridge.net.service import (
+    CLOSE_STREAMS_BEFORE_KILL_S,
+    EXIT_BEFORE_KILL_S,
+    LISTEN_RETRY_S,
+    MAX_LISTEN_RETRIES,
+)
 
 ROOT = Path(__file__).parent.parent
 
@@ -56,7 +61,7 @@
         ref = caller.ask()
         s.runs(ref)
         s.kernel.done(ref)
-        s.until("the answer to be written", lambda: not ours.open)
+        s.until("the answer to be written", lambda: not ours.open_txns)
         caller.write(b"Content-Len")
         ours.close("half-message")
         s.until("the end of the stream", lambda: caller.answers() and caller.end)
@@ -69,7 +74,7 @@
         ref = caller.ask()
         s.runs(ref)
         caller.write(b"GARBAGE WITHOUT END\r\n\r\n" + b"x" * 5_000)
-        s.until("the fault", lambda: ours.spoiled)
+        s.until("the fault", lambda: ours.stop_code)
         caller.write(b"and more" * 1_000)
         s.kernel.done(ref)
         s.until("the end of the stream", lambda: caller.answers() and caller.end)
@@ -95,7 +100,7 @@
             return False
 
         s.until("the cut", cut)
-        assert sent > DISCARDED_MOST and ours not in s.instance.callers.connections
+        assert sent > MAX_DISCARDED_BYTES and ours not in s.instance.callers.connections
 
 
 def test_one_that_never_closes_its_own_end_is_cut_after_a_while_and_takes_no_place() -> None:
@@ -104,7 +109,7 @@
     caller = net.caller()
     caller.close("silent")
     assert caller.transport.half_closed and not caller.transport.disconnected
-    net.pass_time(CLOSE_AFTER + 0.2)
+    net.pass_time(CLOSE_TIMEOUT_S + 0.2)
     assert caller.transport.disconnected
 
 
@@ -112,7 +117,7 @@
     net = Net(limits={"sockets": 128})
     net.boot()
     callers = net.instance.callers
-    silent = [net.caller() for _ in range(callers.most)]
+    silent = [net.caller() for _ in range(callers.max_connections)]
     net.pass_time(2.3)
     assert all(each.transport.half_closed and not each.transport.disconnected for each in silent)
     newcomer = net.caller()
@@ -127,20 +132,22 @@
         resting, ours = s.standing()
         s.served(resting)
         others = []
-        while len(callers.connections) < callers.most - callers.most // PARTING:
+        while (
+            len(callers.connections) < callers.max_connections - callers.max_connections // DISPLACED_DIVISOR
+        ):
             other, _ = s.standing()
             s.served(other)
             others.append(other)
         s.until(
             "the first to have rested a while",
-            lambda: s.reactor.seconds() - max(c.heard for c in callers.connections) > 0.06,
+            lambda: s.reactor.seconds() - max(c.last_active_at for c in callers.connections) > 0.06,
         )
         crossing = resting.ask()  # unread when the newcomer comes
         known = set(callers.connections)
         newcomer = s.caller()
         # The newcomer is taken first, so that the farewell and the request cross.
-        s.instance.port.doRead()
-        assert set(callers.connections) - known and ours in callers.parting
+        s.instance.listening_port.doRead()
+        assert set(callers.connections) - known and ours in callers.being_displaced
         s.runs(crossing)
         s.kernel.done(crossing)
         s.until("the answer", lambda: resting.by_id().get(2))
@@ -148,7 +155,7 @@
         s.served(newcomer)
         resting.close()
         s.until("its end", lambda: ours not in callers.connections)
-        assert s.log.codes("connection-end") == ["displaced"] and not callers.parting
+        assert s.log.codes("connection-end") == ["displaced"] and not callers.being_displaced
 
 
 def test_an_answer_to_a_connection_that_another_replaced_goes_nowhere_and_breaks_nothing() -> None:
@@ -189,11 +196,11 @@
             asked += 1
             s.runs(ref)
             s.kernel.done(ref, doc)
-            s.until("the answer to be given", lambda: not ours.open)
+            s.until("the answer to be given", lambda: not ours.open_txns)
         assert asked < 200
         s.instance.leave()
         s.turn(2)
-        s.instance.part()
+        s.instance.close_streams()
         s.until("all answers and the end", lambda: (caller.answers(), caller.end)[1])
         assert caller.end == "end" and len(caller.by_id()) == asked
 
@@ -204,11 +211,11 @@
 def test_the_listening_socket_is_closed_in_the_turn_in_which_its_backlog_was_read() -> None:
     """Else a connection made in between stands, and is reset with the request that it wrote."""
     with stepped() as s:
-        port = s.instance.port
+        port = s.instance.listening_port
         port.numberAccepts = 1  # as after a quiet turn
         waiting = [s.caller() for _ in range(30)]
         refs = [caller.ask() for caller in waiting]
-        s.instance.leaving, s.instance.shut = True, True
+        s.instance.draining, s.instance.stopped_accepting = True, True
         close_listener(port)
         assert len(s.instance.callers.connections) == 30, "left in the backlog, to be reset"
         with pytest.raises(OSError, match="refused"):
@@ -223,13 +230,13 @@
         waiting = [s.caller() for _ in range(60)]
         for caller in waiting:
             caller.check()
-        close_listener(s.instance.port)
+        close_listener(s.instance.listening_port)
         s.until(
             "all to hear or to be turned away",
             lambda: all(caller.answers() or caller.end for caller in waiting),
         )
-        assert sum(bool(caller.heard) for caller in waiting) >= s.instance.callers.most // 2
-        assert len(s.instance.callers.connections) <= s.instance.callers.most
+        assert sum(bool(caller.heard) for caller in waiting) >= s.instance.callers.max_connections // 2
+        assert len(s.instance.callers.connections) <= s.instance.callers.max_connections
 
 
 @pytest.mark.parametrize("grace", [0, 300_000])
@@ -256,7 +263,7 @@
         s.served(caller)
         s.instance.leave()
         caller.ask()  # unread while the door is shut
-        s.instance.shut_door()
+        s.instance.stop_accepting()
         answer = s.until(
             "its answer",
             lambda: caller.by_id().get(2)
@@ -275,7 +282,7 @@
         )
         caller.ask()
         s.until("it to be read", lambda: s.instance.jobs or caller.by_id().get(2))
-        s.instance.part()  # in the very turn: the brain was not asked yet
+        s.instance.close_streams()  # in the very turn: the brain was not asked yet
         s.until("the end of the stream", lambda: caller.answers() and caller.end)
         assert caller.end == "end" and caller.by_id()[2]["error"]["code"] == -32008
         assert not s.instance.facade.owed()
@@ -287,7 +294,10 @@
         ref = caller.ask()
         s.runs(ref)
         s.instance.leave()
-        s.until("the time of the last look", lambda: s.reactor.seconds() > s.instance.kill_at - PART + 0.01)
+        s.until(
+            "the time of the last look",
+            lambda: s.reactor.seconds() > s.instance.kill_at - CLOSE_STREAMS_BEFORE_KILL_S + 0.01,
+        )
         s.kernel.done(ref)
         s.until("the end", lambda: caller.pump().end)
         assert caller.end == "end" and len(caller.by_id()) == 1
@@ -302,9 +312,9 @@
     net.reactor.stop = lambda: stopped.append(True)  # type: ignore[method-assign]
     net.instance.leave()
     stop = net.instance.kill_at - net.reactor.seconds()
-    net.pass_time(stop - PART + 0.02)
+    net.pass_time(stop - CLOSE_STREAMS_BEFORE_KILL_S + 0.02)
     assert caller.transport.half_closed and not stopped
-    net.pass_time(PART - LAST_CALL + 0.06)
+    net.pass_time(CLOSE_STREAMS_BEFORE_KILL_S - EXIT_BEFORE_KILL_S + 0.06)
     assert stopped
 
 
@@ -331,7 +341,7 @@
         raise CannotListenError("", 1, OSError(errno.EADDRINUSE, "in use"))
 
     net.reactor.listenTCP = held  # type: ignore[method-assign]
-    net.instance.listen(LISTEN_TRIES)
+    net.instance.listen(MAX_LISTEN_RETRIES)
     net.pass_time(0.2)
     before = len(tried)
     assert before > 2
@@ -354,14 +364,16 @@
             raise CannotListenError("", 1, OSError(number, os.strerror(number)))
 
         there, net.reactor.listenTCP = net.reactor.listenTCP, held  # type: ignore[method-assign]
-        net.instance.listen(LISTEN_TRIES)
-        net.pass_time(4 * LISTEN_TRIES * LISTEN_EVERY)
+        net.instance.listen(MAX_LISTEN_RETRIES)
+        net.pass_time(4 * MAX_LISTEN_RETRIES * LISTEN_RETRY_S)
         assert bool(stopped) == bool(code) and net.instance.exit_code == code
-        net.reactor.listenTCP, net.instance.port = there, None  # type: ignore[method-assign]
+        net.reactor.listenTCP, net.instance.listening_port = there, None  # type: ignore[method-assign]
         net.pass_time(0.2)
-        assert (net.instance.port is not None) == (not code), "it listens once the predecessor has gone"
+        assert (net.instance.listening_port is not None) == (not code), (
+            "it listens once the predecessor has gone"
+        )
         assert set(net.log.codes("listen")) == {"unusable" if code else "taken"}
-        assert len(net.log.codes("listen")) <= LISTEN_TRIES + 1
+        assert len(net.log.codes("listen")) <= MAX_LISTEN_RETRIES + 1
 
 
 # ---- the kernel's link
@@ -528,7 +540,7 @@
         s.instance.reload()
         s.instance.reload()  # the address is the same now: the dial that is under way is the one
         s.boot(listener=place)
-        assert s.log.codes("reload") == ["taken", "taken"] and s.instance.leaving
+        assert s.log.codes("reload") == ["taken", "taken"] and s.instance.draining
         s.until("the end of the old link", lambda: s.fars[0].pump().end)
         with suppress(BlockingIOError):
             place.accept()
@@ -851,7 +863,7 @@
         ref = caller.ask("book", k="acct")
         s.runs(ref)
         caller.write(caller_revokes(1))
-        s.until("the revoke", lambda: not ours.open)
+        s.until("the revoke", lambda: not ours.open_txns)
         caller.ask("book", k="acct", r=1)
         s.until("the repeat", lambda: len(s.instance.jobs) == 2)
         s.kernel.done(ref, "b25l")
@@ -944,7 +956,7 @@
         caller.socket.shutdown(socket.SHUT_WR)
         s.until("its end", lambda: ours not in s.instance.callers.connections)
         s.until("the runs to be known as nobody's", lambda: not s.instance.facade.owed())
-        assert len(refs) == 20 and not ours.open
+        assert len(refs) == 20 and not ours.open_txns
 
 
 # ---- the last moments before the kill
@@ -966,7 +978,7 @@
         net.instance.leave()
         kill_at = net.instance.kill_at
         net.pass_time(kill_at - net.reactor.seconds(), 0.001)
-        assert ended and LAST_CALL - 0.002 <= kill_at - ended[0] <= LAST_CALL + 0.002
+        assert ended and EXIT_BEFORE_KILL_S - 0.002 <= kill_at - ended[0] <= EXIT_BEFORE_KILL_S + 0.002
 
 
 def test_the_process_ends_as_soon_as_all_streams_have_ended() -> None:
@@ -977,7 +989,7 @@
         s.until("the end of the stream", lambda: caller.pump().end)
         caller.close()
         s.until("the process's own end", lambda: s.ended)
-        assert s.reactor.seconds() < s.instance.kill_at - LAST_CALL
+        assert s.reactor.seconds() < s.instance.kill_at - EXIT_BEFORE_KILL_S
         assert s.log.codes("drain")[-1] == "done"
 
 
@@ -986,11 +998,11 @@
     net = Net()
     net.boot()
     instance = net.instance
-    instance.noticed(signal.SIGHUP)
+    instance.record_signal(signal.SIGHUP)
     signalled = net.reactor.seconds()
-    instance.noticed(signal.SIGTERM)
+    instance.record_signal(signal.SIGTERM)
     net.reactor.rightNow += 0.4  # the turn goes on
-    instance.noticed(signal.SIGINT)
+    instance.record_signal(signal.SIGINT)
     instance.leave()
     stop = SAMPLE["stop_ms"] / 1_000
     assert instance.kill_at == pytest.approx(signalled + stop)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -18,15 +18,15 @@
 
 from limeridge.facade import End
 from limeridge.net.callers import (
-    BLAME_MOST,
-    HEAD_MOST,
-    OPEN_MOST,
-    STRANGERS,
-    TURN,
-    UNREAD_MOST,
-    Frames,
-    Rejected,
-    frame,
+    AWAITING_REQUEST_DIVISOR,
+    MAX_ERROR_SCORE,
+    MAX_HEADER_BYTES,
+    MAX_OPEN_TXNS,
+    MAX_UNREAD_BYTES,
+    MESSAGES_PER_ITERATION,
+    FrameParser,
+    RejectedConnection,
+    encode_frame,
 )
 from limeridge.net.log import MOST, Log
 from limeridge.peers.gate import Gate
@@ -69,7 +69,7 @@
     net.tell(event="REAP", cursor=None, handle=ref, fate="ok", lasted=30, arg="ZG9uZQ==")
     [answer] = net.answers(caller)
     assert (answer["id"], answer["result"]["doc"]) == (1, "ZG9uZQ==") and answer["result"]["v"] >= 0
-    assert not net.instance.jobs and not net.instance.facade.open and net.instance.callers.held == 0
+    assert not net.instance.jobs and not net.instance.facade.open and net.instance.callers.held_bytes == 0
     assert caller.transport.no_delay and net.link.transport.no_delay
 
 
@@ -170,7 +170,7 @@
 
     net, members = booted(), Members()
     instance = net.instance
-    instance.join(members)
+    instance.attach_peers(members)
     assert instance.facade.brain.call_most == 3 and instance.ledger.gate is members.gate
     members.calls = 1
     net.pass_time(0.2)
@@ -306,10 +306,10 @@
     net.tell(event="REAP", cursor=None, handle=ref, fate="ok", lasted=30, arg="eA==")
     for _ in range(6):
         for caller in (stranger, usual):
-            caller.dataReceived(b"C" if not caller.frames.begun else b"o")
+            caller.dataReceived(b"C" if not caller.frames.has_partial_frame else b"o")
         net.pass_time(0.5, 0.1)
     assert all(caller.transport.disconnecting for caller in (stranger, silent, usual))
-    assert [caller.code for caller in (stranger, silent, usual)] == ["silent", "silent", "half-message"]
+    assert [caller.end_code for caller in (stranger, silent, usual)] == ["silent", "silent", "half-message"]
 
 
 def test_a_crowd_that_says_nothing_takes_no_usual_caller_s_place() -> None:
@@ -317,20 +317,23 @@
     callers = net.instance.callers
     usual = net.caller()
     ref = net.ask(usual, 1, d=1e6)
-    for _ in range(callers.most):
+    for _ in range(callers.max_connections):
         net.caller()
         net.pass_time(0.001, 0.001)
-    assert len(callers.strangers) <= callers.most // STRANGERS + 0.05 / 0.001
+    assert (
+        len(callers.awaiting_first_request)
+        <= callers.max_connections // AWAITING_REQUEST_DIVISOR + 0.05 / 0.001
+    )
     late = net.caller()
     net.ask(late, 1)
     net.tell(event="REAP", cursor=None, handle=ref, fate="ok", lasted=30, arg="eA==")
     assert net.answers(usual)[0]["result"] and not usual.transport.disconnecting
-    resting = [net.caller() for _ in range(callers.most)]
+    resting = [net.caller() for _ in range(callers.max_connections)]
     for caller in resting:
         net.send(caller, jsonrpc="2.0", id=1, method="heartbeat")
     net.pass_time(0.1)
     net.caller()
-    assert len(callers.connections) <= callers.most and late in callers.connections
+    assert len(callers.connections) <= callers.max_connections and late in callers.connections
 
 
 def test_one_that_asks_for_what_can_t_be_served_again_and_again_is_done_with() -> None:
@@ -341,9 +344,9 @@
     for number in range(2, 40):
         net.ask(wrong, number, "unheard-of")
     net.pass_time(0.05)
-    assert len(net.answers(wrong)) == BLAME_MOST // 2 and not wrong.transport.disconnecting
+    assert len(net.answers(wrong)) == MAX_ERROR_SCORE // 2 and not wrong.transport.disconnecting
     net.pass_time(3.2)  # what was read before is answered, then it ends
-    assert wrong.transport.disconnecting and wrong.code == "nothing-served"
+    assert wrong.transport.disconnecting and wrong.end_code == "nothing-served"
     usual, wavering = net.caller(), net.caller()
     for number in range(1, 100):
         ref = net.ask(usual, 2 * number)
@@ -354,23 +357,26 @@
         net.pass_time(0.01)
         if wavering.transport.disconnecting:
             break
-        assert (wavering.farewell_at is not None) == (number >= BLAME_MOST // 2)
-    assert usual.code == "" and number == BLAME_MOST
+        assert (wavering.farewell_at is not None) == (number >= MAX_ERROR_SCORE // 2)
+    assert usual.end_code == "" and number == MAX_ERROR_SCORE
 
 
 def test_a_flood_on_one_connection_leaves_others_their_turn() -> None:
     net = booted()
     flood = net.caller()
-    one = frame(orjson.dumps({"jsonrpc": "2.0", "id": 1, "method": "heartbeat"}))
+    one = encode_frame(orjson.dumps({"jsonrpc": "2.0", "id": 1, "method": "heartbeat"}))
     flood.dataReceived(one * 100)
-    assert len(list(Frames().feed(flood.transport.sent()))) == TURN
+    assert len(list(FrameParser().feed(flood.transport.sent()))) == MESSAGES_PER_ITERATION
     assert flood.transport.producerState == "paused"
     net.pass_time(0.1)
-    assert len(net.answers(flood)) == 100 - TURN and flood.transport.producerState == "producing"
+    assert (
+        len(net.answers(flood)) == 100 - MESSAGES_PER_ITERATION
+        and flood.transport.producerState == "producing"
+    )
     for number in range(1, 200):
         net.ask(flood, number)
         net.send(flood, jsonrpc="2.0", method="revoke", params={"id": number})
-    assert flood.transport.disconnecting and flood.code == "taken-back"
+    assert flood.transport.disconnecting and flood.end_code == "taken-back"
 
 
 @pytest.mark.parametrize("params", [{"id": 1}, {"i": "REF"}])
@@ -399,7 +405,7 @@
     net.pass_time(0.1)
     assert [c["handle"] for c in net.commands()] == [ref, soon] and net.answers(idle) == []
     net.tell(event="REAP", cursor=None, handle=soon, fate="ok", lasted=5, arg="eA==")
-    assert net.answers(early)[0]["result"]["v"] > 0 and not net.instance.shut
+    assert net.answers(early)[0]["result"]["v"] > 0 and not net.instance.stopped_accepting
     net.pass_time(0.18)
     assert [m.get("method") for c in (idle, busy, early) for m in net.answers(c)] == ["farewell"] * 3
     net.lose(idle)
@@ -435,12 +441,12 @@
     net = booted()
     caller, other = net.caller(), net.caller()
     caller.pauseProducing()
-    for _ in range(UNREAD_MOST // 50):
+    for _ in range(MAX_UNREAD_BYTES // 50):
         net.send(caller, jsonrpc="2.0", id=1, method="heartbeat")
     assert caller.transport.disconnected
-    assert net.instance.callers.unread <= UNREAD_MOST + 200
+    assert net.instance.callers.unread_bytes <= MAX_UNREAD_BYTES + 200
     net.lose(caller)
-    assert net.log.codes("connection-end") == ["unread"] and net.instance.callers.unread == 0
+    assert net.log.codes("connection-end") == ["unread"] and net.instance.callers.unread_bytes == 0
     other.pauseProducing()
     net.send(other, jsonrpc="2.0", id=1, method="heartbeat")
     assert net.answers(other) == []
@@ -479,7 +485,7 @@
     net.ask(caller, 20)
     [answer] = net.answers(caller)
     assert answer["id"] is None and answer["error"]["code"] == -32600
-    caller.dataReceived(b"x" * HEAD_MOST)
+    caller.dataReceived(b"x" * MAX_HEADER_BYTES)
     assert not caller.transport.disconnecting  # txn 20 was read before, and is owed its answer
     net.tell(event="REAP", cursor=None, handle=net.commands()[0]["handle"], fate="ok", lasted=5, arg="eA==")
     assert net.answers(caller)[0]["id"] == 20 and caller.transport.disconnecting
@@ -493,10 +499,10 @@
 def test_no_more_than_so_many_are_open_on_a_connection() -> None:
     net = booted()
     caller = net.caller()
-    for number in range(1, OPEN_MOST + 2):
+    for number in range(1, MAX_OPEN_TXNS + 2):
         net.ask(caller, number, d=60_000)
     answers = net.answers(caller)
-    assert [a["id"] for a in answers if "more than" in a["error"]["message"]] == [OPEN_MOST + 1]
+    assert [a["id"] for a in answers if "more than" in a["error"]["message"]] == [MAX_OPEN_TXNS + 1]
 
 
 def test_a_defect_in_one_txns_path_answers_that_txn_alone() -> None:
@@ -627,16 +633,16 @@
 
 def test_connections_past_the_bound_are_turned_away_and_old_ones_stay() -> None:
     net = booted(limits={"sockets": 128})
-    callers = [net.caller() for _ in range(net.instance.callers.most)]
+    callers = [net.caller() for _ in range(net.instance.callers.max_connections)]
     rejected = net.caller()
-    assert isinstance(rejected, Rejected) and rejected.transport.disconnected
+    assert isinstance(rejected, RejectedConnection) and rejected.transport.disconnected
     net.lose(rejected)
     assert net.log.codes("connection-end") == ["full"] and not any(c.transport.disconnected for c in callers)
 
 
 def test_bodies_in_hand_are_bounded() -> None:
     net = booted()
-    net.instance.callers.held_most = 5_000
+    net.instance.callers.max_held_bytes = 5_000
     caller = net.caller()
     net.ask(caller, 1)
     net.ask(caller, 2)
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -42,8 +42,8 @@
 @often
 @given(bodies=st.lists(st.binary(max_size=60), max_size=6), lengths=cuts)
 def test_frames_come_out_whole_however_they_are_split(bodies: list[bytes], lengths: list[int]) -> None:
-    frames, out = callers.Frames(), []
-    for part in pieces(b"".join(map(callers.frame, bodies)), lengths):
+    frames, out = callers.FrameParser(), []
+    for part in pieces(b"".join(map(callers.encode_frame, bodies)), lengths):
         out += list(frames.feed(part))
     assert out == bodies and not frames.data
 
@@ -59,11 +59,11 @@
     )
 )
 def test_no_bytes_break_the_frames_or_fill_their_buffer(parts: list[bytes]) -> None:
-    frames = callers.Frames()
+    frames = callers.FrameParser()
     try:
         for part in parts:
-            assert all(len(body) <= callers.BODY_MOST for body in frames.feed(part))
-            assert len(frames.data) <= callers.BODY_MOST + callers.HEAD_MOST
+            assert all(len(body) <= callers.MAX_BODY_BYTES for body in frames.feed(part))
+            assert len(frames.data) <= callers.MAX_BODY_BYTES + callers.MAX_HEADER_BYTES
     except callers.BadFrame as bad:
         assert str(bad) in ("bad-head", "bad-length", "no-length", "oversize")
 
@@ -82,7 +82,7 @@
 )
 def test_a_bad_head_is_told_by_its_code(head: bytes, code: str) -> None:
     with pytest.raises(callers.BadFrame, match=code):
-        list(callers.Frames().feed(head))
+        list(callers.FrameParser().feed(head))
 
 
 @often
@@ -188,7 +188,9 @@
 def test_any_json_is_decoded_to_a_message_or_a_fault(value: Any) -> None:
     decoder = callers.Decoder(["look"], setup_of(SAMPLE).tenants)
     message = decoder.decode(json.dumps(value).encode())
-    assert isinstance(message, callers.Ask | callers.Revoke | callers.Heartbeat | callers.Fault)
+    assert isinstance(
+        message, callers.TxnRequest | callers.Revoke | callers.Heartbeat | callers.InvalidMessage
+    )
 
 
 @often
@@ -228,7 +230,7 @@
 
 def test_answers_carry_what_the_caller_is_to_know() -> None:
     def sent(answer: Answer) -> Any:
-        [body] = callers.Frames().feed(callers.encode_answer(7, answer, 0.25))
+        [body] = callers.FrameParser().feed(callers.encode_answer(7, answer, 0.25))
         return orjson.loads(body)
 
     assert sent(Answer(Kind.SETTLED, doc="Zm9v"))["result"] == {"doc": "Zm9v", "v": 0.25}
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -170,7 +170,7 @@
         what, chance, net = self.chance.random(), self.chance, self.net
         runs = [handle for handle, state in self.kernel.state.items() if state == "runs"]
         if not self.callers or what < 0.04:
-            if len(self.callers) < 6 and not net.instance.leaving:
+            if len(self.callers) < 6 and not net.instance.draining:
                 self.callers.append(net.caller())
         elif what < 0.4:
             self.ask()
@@ -252,7 +252,7 @@
             fleet.kernel.end(handle, "ok")
         net.pass_time(0.02)
         fleet.settle()
-    assert not net.instance.jobs and not net.instance.facade.open and net.instance.callers.held == 0
+    assert not net.instance.jobs and not net.instance.facade.open and net.instance.callers.held_bytes == 0
     assert not fleet.owed and len(fleet.kernel.started) == len(set(fleet.kernel.started))
 
 
--- a/tests/test_unread.py
+++ b/tests/test_unread.py
@@ -22,7 +22,13 @@
 from helpers import MOST
 from loopback import CallerEnd, Stepped, stepped
 
-from limeridge.net.callers import CLOSE_AFTER, PARTING, SETTLE, STRANGERS, WHOLE
+from limeridge.net.callers import (
+    AWAITING_REQUEST_DIVISOR,
+    CLOSE_TIMEOUT_S,
+    DISPLACED_DIVISOR,
+    DISPLACEMENT_GRACE_S,
+    MESSAGE_TIMEOUT_S,
+)
 
 
 class SlowTurn:
@@ -40,7 +46,7 @@
 
 def accept(s: Stepped) -> None:
     """What stands in the backlog is taken, and nothing else is read."""
-    s.instance.port.doRead()
+    s.instance.listening_port.doRead()
 
 
 def all_answered(s: Stepped, asked: dict[str, CallerEnd]) -> None:
@@ -69,11 +75,14 @@
     with stepped(limits={"sockets": 96}) as s:
         clock, callers = slow(s), s.instance.callers
         asked = {}
-        while len(callers.strangers) * STRANGERS < callers.most + STRANGERS:
+        while (
+            len(callers.awaiting_first_request) * AWAITING_REQUEST_DIVISOR
+            < callers.max_connections + AWAITING_REQUEST_DIVISOR
+        ):
             far = s.caller()
             asked[far.ask()] = far
             accept(s)
-        clock.ahead += 2 * SETTLE  # the same turn of the loop goes on
+        clock.ahead += 2 * DISPLACEMENT_GRACE_S  # the same turn of the loop goes on
         for _ in range(8):
             far = s.caller()
             asked[far.ask()] = far
@@ -85,9 +94,9 @@
 def test_one_that_says_nothing_still_gives_its_place_to_a_newcomer() -> None:
     with stepped(limits={"sockets": 96}) as s:
         clock, callers = slow(s), s.instance.callers
-        silent = [s.caller() for _ in range(callers.most // STRANGERS + 1)]
+        silent = [s.caller() for _ in range(callers.max_connections // AWAITING_REQUEST_DIVISOR + 1)]
         accept(s)
-        clock.ahead += 2 * SETTLE
+        clock.ahead += 2 * DISPLACEMENT_GRACE_S
         newcomer = s.caller()
         accept(s)
         all_answered(s, {newcomer.ask(): newcomer})
@@ -99,19 +108,21 @@
     with stepped(limits={"sockets": 64}) as s:
         clock, callers = slow(s), s.instance.callers
         resting = []
-        while len(callers.connections) < callers.most - callers.most // PARTING:
+        while (
+            len(callers.connections) < callers.max_connections - callers.max_connections // DISPLACED_DIVISOR
+        ):
             far, _ = s.standing()
             s.served(far)
             resting.append(far)
-        clock.ahead += 2 * SETTLE
+        clock.ahead += 2 * DISPLACEMENT_GRACE_S
         asked = {}
-        while len(callers.connections) < callers.most:  # each bids farewell to one
+        while len(callers.connections) < callers.max_connections:  # each bids farewell to one
             far = s.caller()
             asked[far.ask()] = far
             accept(s)
         for far in resting:  # none has read its farewell yet
             asked[far.ask()] = far
-        clock.ahead += 2 * SETTLE
+        clock.ahead += 2 * DISPLACEMENT_GRACE_S
         s.caller()
         accept(s)
         all_answered(s, asked)
@@ -121,14 +132,14 @@
     with stepped(limits={"sockets": 96}) as s:
         callers = s.instance.callers
         served = []
-        while len(callers.connections) < callers.most:
+        while len(callers.connections) < callers.max_connections:
             far, _ = s.standing()
             s.served(far)
             served.append(far)
         for far in served:
             far.close()
         asked = {}
-        for _ in range(callers.most // 2):
+        for _ in range(callers.max_connections // 2):
             far = s.caller()
             asked[far.ask()] = far
         accept(s)  # all in one turn; the ends of the others lie unread
@@ -145,15 +156,15 @@
         if state != "silent":
             s.served(far)
         if state == "farewell":
-            ours.say_farewell()
+            ours.send_farewell()
         message, ref = far.framed()
         if state == "half-message":
             far.write(message[:20])
-            s.until("the first half", lambda: ours.frames.begun)
+            s.until("the first half", lambda: ours.frames.has_partial_frame)
             message = message[20:]
         far.write(message)
         assert select.select([ours.transport.socket], [], [], MOST)[0], "it has not arrived"
-        clock.ahead += max(WHOLE, CLOSE_AFTER) + 0.1
+        clock.ahead += max(MESSAGE_TIMEOUT_S, CLOSE_TIMEOUT_S) + 0.1
         s.instance.callers.sweep()
         all_answered(s, {ref: far})
 
@@ -164,7 +175,7 @@
     and resets those that nobody accepted. What showed it: the soak, seed 3: a reset 0.000 s after 2 requests
     were sent, 0.251 s after the notice; the door shuts at 0.249 s."""
     with stepped() as s:
-        port, late = s.instance.port, []
+        port, late = s.instance.listening_port, []
         close = port.connectionLost
 
         def connect_first(why: Any) -> None:
@@ -178,7 +189,7 @@
         before = s.caller()
         asked = {before.ask(): before}
         s.instance.leave()
-        s.instance.shut_door()
+        s.instance.stop_accepting()
         [(far, connected)] = late
         far.close()
         assert not connected, "it stands, and is reset with what it writes"
