--- a/limeridge/net/callers.py
+++ b/limeridge/net/callers.py
@@ -1,8 +1,8 @@
-"""The callers' side: framed JSON-RPC 2.0 on the listening socket, health checks, farewells, idle limits.
+"""The server for callers: framed JSON-RPC 2.0, health checks, farewells and idle timeouts.
 
-It owns the parser of frames, the one decoding of each message into a typed value and the one encoding of each
-answer, and the bounds on connections, open txns and unread output. It must never judge a txn (that is asked
-of the service that it is given) nor keep a reference to one that was answered.
+Parses frames, decodes each message into a typed value, encodes answers, and bounds connections, open txns and
+unread output. Decisions on txns are made by the service that it is given. It must not keep a reference to an
+answered txn.
 """
 
 from __future__ import annotations
@@ -28,28 +28,31 @@
 from limeridge.net.admission_filter import admit_no_more
 from limeridge.net.log import Log
 
-MAX_HEADER_BYTES = 1_024  # bytes of a head
-# bytes of a message: a body of 2 KiB in base64 and its fields take under a third of it
+MAX_HEADER_BYTES = 1_024
+# A document of MAX_DOC_BYTES in base64 and the other fields take less than a third of this.
 MAX_BODY_BYTES = 16_384
 MAX_DOC_BYTES = 2_048
-MAX_OPEN_TXNS = 32  # txns open on a connection
-MAX_REMEMBERED_IDS = 256  # ids of a connection that are still known after their answer
-MAX_UNREAD_BYTES = 262_144  # bytes of answers that a peer may leave unread; 32 answers fit
-CLOSE_TIMEOUT_S = 1.0  # seconds that a peer gets to close after a farewell or after our own end of the stream
-MAX_DISCARDED_BYTES = 262_144  # bytes that are read and dropped of a connection that is being closed
-# one in so many places is kept for resting ones that were bidden farewell for a newcomer's sake
+MAX_OPEN_TXNS = 32  # on one connection
+MAX_REMEMBERED_IDS = 256  # recent request ids of a connection that are rejected when used again
+MAX_UNREAD_BYTES = 262_144  # answers buffered for a peer that does not read; room for 32 answers
+# Time for a peer to close its end after a farewell, or after the server has closed its own end of the stream.
+CLOSE_TIMEOUT_S = 1.0
+MAX_DISCARDED_BYTES = 262_144  # bytes read and dropped on a connection that is being closed
+# One in this many connection slots is reserved for idle connections that were sent a farewell to make room.
 DISPLACED_DIVISOR = 8
-MAX_FINAL_ACCEPTS = 100_000  # connections taken from the backlog before the listening socket is closed
-TXN_OVERHEAD_BYTES = 2_500  # bytes that a txn takes here besides its body
-# seconds for a message to come whole, against peers that hold a place with half of one or none
+MAX_FINAL_ACCEPTS = 100_000  # connections accepted from the backlog before the listening socket is closed
+TXN_OVERHEAD_BYTES = 2_500  # memory that a txn takes besides its document
+# Time for a message to arrive completely; stops peers from holding a slot with part of a message or none.
 MESSAGE_TIMEOUT_S = 2.0
-MAX_ERROR_SCORE = 32  # of errors (2 each) and voided txns (1) in a row, after which a connection is done with
-MAX_CONSECUTIVE_REVOKES = 64  # txns taken back in a row, none settled between
-MESSAGES_PER_ITERATION = 16  # messages of one connection that are taken before others get their turn
-AWAITING_REQUEST_DIVISOR = 4  # one in so many places may be taken by connections that sent nothing whole yet
-# seconds that a new one gets to send its first bytes before it may lose its place
+# A connection is closed at this score; an invalid message adds 2, a voided txn 1, a settled txn resets it.
+MAX_ERROR_SCORE = 32
+MAX_CONSECUTIVE_REVOKES = 64  # without a settled txn in between
+MESSAGES_PER_ITERATION = 16  # handled for one connection before the others get their turn
+# One in this many connection slots may be held by connections that have not sent a valid request yet.
+AWAITING_REQUEST_DIVISOR = 4
+# A connection that was opened, active or sent a farewell within this time is not closed to make room.
 DISPLACEMENT_GRACE_S = 0.05
-SWEEP_INTERVAL_S = 0.1  # seconds between two looks for idle connections
+SWEEP_INTERVAL_S = 0.1  # between two checks for idle connections
 
 PARSE_ERROR, INVALID_REQUEST, METHOD_NOT_FOUND, INVALID_PARAMS = -32700, -32600, -32601, -32602
 DECLINED, VOIDED = -32008, -32000
@@ -58,15 +61,15 @@
 
 
 class BadFrame(Exception):
-    """The framing can't be trusted any more; the text is the reason code of the connection's end."""
+    """The stream can no longer be parsed; the text is the reason code for closing the connection."""
 
 
 class FrameParser:
-    """`Content-Length` frames out of bytes that come split and joined anywhere."""
+    """Incremental parser of `Content-Length` frames."""
 
     def __init__(self) -> None:
         self.data = bytearray()
-        self.body_length = -1  # the length of the body that is awaited, once its head is read
+        self.body_length = -1  # -1 until the header has been parsed
 
     @property
     def has_partial_frame(self) -> bool:
@@ -91,7 +94,7 @@
             yield body
 
     def _is_plausible(self) -> bool:
-        """Against a peer that speaks something else, which would sit there unanswered."""
+        """False if the peer uses another protocol: it would never send the end of a header."""
         return all(32 <= byte < 127 or byte in b"\r\n\t" for byte in self.data[:64])
 
 
@@ -122,7 +125,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TxnRequest:
-    """A txn to be judged; all but the answer's way back."""
+    """The fields of a request for a txn."""
 
     id: int
     ref: str
@@ -131,9 +134,9 @@
     customer: int
     caller: int
     sent_at_ms: int  # Unix milliseconds
-    timeout_ms: float  # milliseconds from then
+    timeout_ms: float  # counted from sent_at_ms
     resent: bool
-    expected_work_ms: float  # milliseconds
+    expected_work_ms: float
     size_kb: float
     key: str
     doc: str
@@ -153,7 +156,7 @@
 
 @dataclass(slots=True, frozen=True)
 class InvalidMessage:
-    """A message that can't be served, and what to answer."""
+    """A message that can't be handled, and the error to answer."""
 
     id: int | None
     code: int
@@ -170,12 +173,12 @@
 
 
 class Decoder:
-    """Bytes to one of the typed messages; names of classes become numbers in the settings' order,
-    those of tenants the numbers of their table."""
+    """Decodes message bodies. Product names become their index in the settings, tenant names their number in
+    the tenant table."""
 
     def __init__(self, products: Sequence[str], tenants: TenantTable) -> None:
         self.products = {name: number for number, name in enumerate(products)}
-        self.tenants = tenants  # of the revision that is in force
+        self.tenants = tenants  # of the configuration revision in force
 
     def decode(self, body: bytes) -> Message:
         try:
@@ -265,7 +268,7 @@
 
 
 def value_data(value: float | None) -> dict[str, object]:
-    """The free value, on whatever is answered."""
+    """The instance's published value, which goes with every answer."""
     return {} if value is None else {"v": value}
 
 
@@ -295,9 +298,9 @@
 
 
 class Service(Protocol):
-    """What the callers' side asks of whoever wires it up."""
+    """The operations that connections need from the instance."""
 
-    stopped_accepting: bool  # draining, and nothing new is taken any more
+    stopped_accepting: bool  # while draining, once the listening socket is closed
 
     def serve(self, intake: Intake) -> None: ...
     def withdraw(self, intake: Intake) -> None: ...
@@ -317,7 +320,7 @@
         self.frames = FrameParser()
         self.open_txns: dict[int, Intake] = {}
         self.seen_ids: dict[int, None] = {}
-        self.backlog: list[bytes] = []  # answers that the peer does not read yet
+        self.backlog: list[bytes] = []  # answers that the transport does not accept yet
         self.backlog_size = 0
         self.write_paused = False
         self.txn_count = 0
@@ -325,10 +328,10 @@
         self.last_active_at = callers.clock.seconds()
         self.farewell_at: float | None = None
         self.closed_at = 0.0
-        self.stop_code = ""  # why nothing more is read
-        self.message_started_at = self.last_active_at  # when the message that is not whole yet began
-        self.end_code = ""
-        self.discarded_bytes = 0  # bytes read of it while it was being closed
+        self.stop_code = ""  # why reading was stopped; empty while messages are read
+        self.message_started_at = self.last_active_at  # of the message that is incomplete
+        self.end_code = ""  # why the connection was closed; empty while it is open
+        self.discarded_bytes = 0  # read after the close began
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
@@ -360,9 +363,9 @@
             self.stop_reading("defect")
 
     def read_pending(self) -> None:
-        """Reads what lies unread in the socket, in this turn of the loop, and ends the connection where its
-        caller has: silence is judged by what was read, as the clock says nothing of a socket that a long turn
-        left alone."""
+        """Reads what the socket's receive buffer holds, and handles the end of the stream if the caller
+        closed it. Called before a connection is closed for inactivity: after a long iteration of the event
+        loop, the time of the last read does not show whether the caller has sent anything."""
         if self.end_code or self.stop_code:
             return
         ended = self.transport.doRead()
@@ -371,14 +374,14 @@
 
     @property
     def is_silent(self) -> bool:
-        """Whether nothing of a request is here that an answer could be owed to."""
+        """Whether there is neither an open txn nor part of a message."""
         return not self.open_txns and not self.frames.has_partial_frame
 
     def discard(self, size: int) -> None:
-        """What comes after our end of the stream can't be answered, so it is not taken: its caller sees that
-        end, and knows that nothing ran."""
+        """Drops data that arrives after the server closed its end of the stream, and so can't be answered.
+        The caller sees the end of the stream, and knows that the request did not run."""
         self.discarded_bytes += size
-        # against one that goes on sending at full speed
+        # Stops a peer that keeps sending at full speed.
         if self.end_code and self.discarded_bytes > MAX_DISCARDED_BYTES:
             self.transport.abortConnection()
 
@@ -388,16 +391,16 @@
             self.dataReceived(b"")
 
     def stop_reading(self, code: str) -> None:
-        """Nothing more is read; what was read before is answered still, then the connection ends."""
+        """Handles no more messages; closes the connection once the open txns are answered."""
         self.stop_code = code
         if not self.open_txns:
             self.close(code)
         elif not self.end_code:
-            self.transport.pauseProducing()  # against a peer that goes on sending at full speed
+            self.transport.pauseProducing()  # the peer may keep sending at full speed
 
     def add_errors(self, weight: int) -> None:
-        """Against a peer that sends what can't be served again and again, each time costing a reading. A txn
-        may be voided for no fault of its caller's, so that is asked first to go."""
+        """Closes the connection of a peer that keeps sending messages that can't be served. Voided txns may
+        not be the caller's fault, so they lead to a farewell first, at half of the limit."""
         self.error_score += weight
         if self.error_score >= MAX_ERROR_SCORE and not self.stop_code and not self.end_code:
             self.stop_reading("nothing-served")
@@ -419,7 +422,7 @@
                 if number in self.open_txns:
                     self.callers.service.withdraw(self.open_txns.pop(number))
                     self.consecutive_revokes += 1
-                    # against asking for nothing
+                    # Stops a peer that only sends requests and revokes them.
                     if self.consecutive_revokes >= MAX_CONSECUTIVE_REVOKES and not self.open_txns:
                         self.stop_reading("taken-back")
             case InvalidMessage():
@@ -427,7 +430,7 @@
 
     def reject_message(self, number: int | None, code: int, why: str) -> None:
         self.callers.log.event("bad-message", why)
-        # An answer under an id that is open would be taken for that txn's own.
+        # An error with the id of an open txn would be taken for the answer to that txn.
         self.send(encode_error(None if number in self.open_txns else number, code, why, {}))
         self.add_errors(2)
 
@@ -442,7 +445,7 @@
             self.reject_message(request.id, INVALID_REQUEST, f"more than {MAX_OPEN_TXNS} open")
             return
         self.txn_count += 1
-        # Both are told in Unix time, which may have stepped since: neither may leave what was told.
+        # The caller's Unix time and ours may differ or step, so the age is kept within the request's timeout.
         age = min(max(0.0, self.callers.unix() * 1_000 - request.sent_at_ms), request.timeout_ms or 60_000.0)
         intake = Intake(
             request.ref,
@@ -496,11 +499,11 @@
             self.send(encode_frame(FAREWELL))
 
     def close(self, code: str, abort: bool = False) -> None:
-        """Half a close: our end of the stream goes out behind what is still unsent, and what comes meanwhile
-        is read and dropped up to the peer's own end. Against a close over unread bytes, which is a reset and
-        takes answers on their way with it."""
+        """Closes the write side once all output is sent, then reads and drops data until the peer closes.
+        Closing a socket with unread data would send a reset, which can destroy answers still in flight.
+        `abort` closes at once."""
         closing, self.end_code = bool(self.end_code), self.end_code or code
-        if abort:  # also where it is being closed by halves
+        if abort:  # also if the write side was closed before
             self.transport.abortConnection()
         if abort or closing:
             return
@@ -522,7 +525,7 @@
         for intake in unanswered:
             self.callers.service.withdraw(intake)
 
-    # A peer that does not read: answers wait here, bounded, and not in the transport.
+    # Answers to a peer that does not read are buffered here, where they are bounded, not in the transport.
 
     def pauseProducing(self) -> None:
         self.write_paused = True
@@ -543,7 +546,7 @@
 
 
 class Callers(Factory):
-    """All connections of callers, and what bounds them."""
+    """The factory and registry of all caller connections; enforces the limits on them."""
 
     noisy = False
 
@@ -569,13 +572,14 @@
         )
         self.held_bytes, self.unread_bytes = 0, 0
         self.connections: dict[Connection, None] = {}
-        # Those that sent nothing yet that could be served, the oldest first, and since when they stand.
+        # Connections that have not sent a valid request yet, oldest first, with the time they were opened.
         self.awaiting_first_request: dict[Connection, float] = {}
-        # Those that rested and were bidden farewell for a newcomer's sake, and when; what crosses is served.
+        # Idle connections that were sent a farewell to make room, with the time of the farewell. A request
+        # that crosses the farewell is still served.
         self.being_displaced: dict[Connection, float] = {}
-        # Sockets that are cut keep their descriptors up to the next turn: no more in a turn than `slack`.
+        # An aborted socket keeps its descriptor until the next iteration of the event loop.
         self.max_aborts_per_iteration, self.aborts_this_iteration = max_aborts_per_iteration, 0
-        self.polled_this_iteration = False  # at all sockets, in this turn of the loop
+        self.polled_this_iteration = False
 
     def buildProtocol(self, addr: object) -> Connection | RejectedConnection | None:
         if self._make_room():
@@ -586,13 +590,14 @@
         return None
 
     def _make_room(self) -> bool:
-        """Against a table full of connections that say nothing, or rest: a newcomer takes the place of one.
-        Those that say nothing never fill it, so that usual callers keep theirs. One that rests hears a
-        farewell and keeps its descriptor for a while, from the places that are kept for this."""
+        """Whether a new connection can be accepted; closes another one for it if necessary. Connections
+        without a request are limited to a part of the slots, so that they can't crowd out active callers. An
+        idle connection is sent a farewell, and keeps its descriptor for a while in one of the slots reserved
+        for this."""
         if self._is_crowded() and self._displace_without_request():
             return True
         free_slots = self._free_slots()
-        # more than one where a rush took the kept places: they are to be there for the next
+        # Displaces several if a burst has used reserved slots, so that these are free for the next burst.
         if free_slots <= 0:
             self._displace_idle(1 - free_slots)
         if len(self.connections) >= self.max_connections:
@@ -609,7 +614,7 @@
         return silent is not None and self._is_crowded() and self._abort(silent)
 
     def _free_slots(self) -> int:
-        """Places for newcomers, besides those that are kept for connections that were bidden farewell."""
+        """Slots for new connections, not counting those reserved for connections being displaced."""
         return (
             self.max_connections
             - self.max_connections // DISPLACED_DIVISOR
@@ -623,7 +628,7 @@
         )
 
     def _poll_connections(self) -> None:
-        """Once a turn of the loop: those whose callers have closed them, unread as yet, take no place."""
+        """Detects connections that were closed by their callers; at most once per event loop iteration."""
         if self.polled_this_iteration:
             return
         self.polled_this_iteration = True
@@ -638,11 +643,11 @@
     def _find_silent(
         self, among: dict[Connection, float], include_partial: bool = False
     ) -> Connection | None:
-        """The first that has been silent for SETTLE and is so still when its socket is looked at; with
-        `half_come` also one that has sent a part of a message."""
+        """The first connection past the grace period that has nothing to read from its socket either; with
+        `include_partial` also one that has sent part of a message."""
         for connection, since in list(among.items()):
             if not self._is_past_grace(since):
-                return None  # nor are those behind it
+                return None  # the rest is newer
             connection.read_pending()
             if connection in among and not connection.open_txns and (include_partial or connection.is_silent):
                 return connection
@@ -670,7 +675,7 @@
             self.being_displaced[connection] = self.clock.seconds()
 
     def _is_past_grace(self, since: float) -> bool:
-        """False where it was heard, made or bidden farewell a moment ago: it stays."""
+        """Whether a connection that was last active at this time may be closed to make room."""
         return bool(self.clock.seconds() - since >= DISPLACEMENT_GRACE_S)
 
     def _abort(self, connection: Connection) -> bool:
@@ -692,7 +697,7 @@
         self.aborts_this_iteration = 0
 
     def end_code_after_farewell(self, connection: Connection) -> str:
-        """The code of the end of one that was bidden farewell."""
+        """The reason code for the end of a connection that was sent a farewell."""
         return "displaced" if connection in self.being_displaced else "farewell"
 
     def remove(self, connection: Connection) -> None:
@@ -714,7 +719,7 @@
         )
 
     def admit(self, intake: Intake) -> None:
-        """Bodies in hand are bounded: past the bound a txn is told at the door that it never ran."""
+        """Passes the txn on, or declines it if the documents of open txns take too much memory."""
         if self.held_bytes + txn_memory_bytes(intake) > self.max_held_bytes:
             self.log.event("turned-away", "held-bodies")
             intake.answer(Answer(Kind.DECLINED, why="no memory"))
@@ -726,23 +731,23 @@
         self.held_bytes -= txn_memory_bytes(intake)
 
     def sweep(self) -> None:
-        """Closes what was silent past the limit: the farewell lets the peer close, so that nothing is on
-        the way then; one that does not is closed after a while."""
+        """Sends a farewell to connections past the idle limit, and closes those that time out. A peer that
+        closes after the farewell has no request in flight; others are closed after CLOSE_TIMEOUT_S."""
         now = self.clock.seconds()
         limit = self.service.idle_limit() / 1_000_000
         for connection in list(self.connections):
-            if connection.end_code:  # a peer that does not read what is left would keep it open for ever
+            if connection.end_code:  # would stay open for ever if the peer does not read the rest
                 if now - connection.closed_at > CLOSE_TIMEOUT_S:
                     connection.transport.abortConnection()
             elif self._timeout_code(connection, now):
-                connection.read_pending()  # what it sent may lie there since before this turn of the loop
+                connection.read_pending()  # its request may have arrived since the last read
                 if connection in self.connections and (code := self._timeout_code(connection, now)):
                     connection.close(code)
             elif limit and now - connection.last_active_at > limit and not connection.open_txns:
                 connection.send_farewell()
 
     def _timeout_code(self, connection: Connection, now: float) -> str:
-        """The code of the end of one that has been silent for too long; empty where it has not."""
+        """The reason code for closing a connection that was inactive for too long; otherwise empty."""
         if connection.open_txns or connection.end_code:
             return ""
         if now - self.awaiting_first_request.get(connection, now) > MESSAGE_TIMEOUT_S:
@@ -759,18 +764,18 @@
             connection.send_farewell()
 
     def close_all(self) -> None:
-        """The process is about to end: what is answered goes out first, then our end of each stream."""
+        """Closes the write side of every connection, after its pending answers."""
         for connection in list(self.connections):
             connection.close("drain")
 
 
 def txn_memory_bytes(intake: Intake) -> int:
-    """Bytes of the process's memory that a txn in hand takes."""
+    """The estimated memory of an open txn."""
     return len(intake.doc) + TXN_OVERHEAD_BYTES
 
 
 class RejectedConnection(Wire):
-    """A connection past the bound: closed at once, so that those that are open stay."""
+    """A connection above the limit, which is aborted at once."""
 
     transport: Any
 
@@ -785,10 +790,10 @@
 
 
 def close_listener(port: Any) -> None:
-    """Stops listening without losing whoever is in the backlog: those connections stand already, and closing
-    the socket would reset them with what they wrote. No more can come while all are taken, whether or not
-    there is a place for them, and the socket is closed in the same breath: `stopListening` would leave it
-    open, and unread, up to the next turn of the loop."""
+    """Stops listening without losing the connections in the backlog: closing the socket would reset them and
+    drop the requests they sent. New connections are blocked, all of the backlog is accepted, also above the
+    connection limit, and the socket is closed at once; `stopListening` would leave it open until the next
+    iteration of the event loop."""
     admit_no_more(port.socket)
     port.socket.listen(0)
     port.numberAccepts = MAX_FINAL_ACCEPTS
