--- a/limeridge/net/service.py
+++ b/limeridge/net/service.py
@@ -105,11 +105,11 @@
 
     def deliver(self, news: News) -> bool:
         """False where the handler waits for something else."""
-        waiting, self.waiting_handler = self.waiting_handler, None
-        if waiting is None:
+        handler_waiting, self.waiting_handler = self.waiting_handler, None
+        if handler_waiting is None:
             self.events.append(news)
             return False
-        waiting.callback(news)
+        handler_waiting.callback(news)
         return True
 
 
@@ -134,32 +134,32 @@
         self.quiet_since: float | None = None
         self.ended = False
         self.jobs: dict[str, Job] = {}
-        budget = int(setup.memory_mb * (1 << 20))
+        memory_bytes = int(setup.memory_mb * (1 << 20))
         self.facade = Facade(
             setup.plain,
             setup.seed,
             reactor,
             log,
             self.run_tick,
-            min(RESULTS_KEPT, budget // 8),
+            min(RESULTS_KEPT, memory_bytes // 8),
             setup.tenants.quota,
         )
         # Descriptors: half and a bit for callers, a few for ourselves; the kernel's link keeps its room.
-        spare = max(16, min(48, setup.sockets // 4))
-        to_ledger = min(128, setup.sockets // 8)
+        reserved = max(16, min(48, setup.sockets // 4))
+        max_ledger_calls = min(128, setup.sockets // 8)
         self.callers = Callers(
             self,
             Decoder(setup.products, setup.tenants),
             reactor,
             log,
-            max_connections=setup.sockets - to_ledger - spare,
-            max_aborts_per_iteration=max(1, spare - RESERVED_DESCRIPTORS),
-            max_held_bytes=budget // 8,
-            max_unread_bytes=budget // 8,
+            max_connections=setup.sockets - max_ledger_calls - reserved,
+            max_aborts_per_iteration=max(1, reserved - RESERVED_DESCRIPTORS),
+            max_held_bytes=memory_bytes // 8,
+            max_unread_bytes=memory_bytes // 8,
             unix=unix,
         )
         self.kernel = Kernel(self, reactor, setup.kernel.host, setup.kernel.port, log)
-        self.ledger = Ledger(reactor, setup.ledger.host, setup.ledger.port, log, to_ledger)
+        self.ledger = Ledger(reactor, setup.ledger.host, setup.ledger.port, log, max_ledger_calls)
         self.node_list = NodeList(setup.name, setup.node_list.host, setup.node_list.port)
         self.skippable_calls = calls_skippable_by_product(setup)
         self.listening_port: Any = None
@@ -197,20 +197,20 @@
         self.run_guarded(self.kernel.connect)
         if self.peers is not None:
             self.run_guarded(self.peers.start)
-        for call, every in (
+        for call, interval_s in (
             (self.callers.sweep, SWEEP_INTERVAL_S),
             (self.report, EVERY),
             (self.check_overdue, OVERDUE_CHECK_INTERVAL_S),
         ):
-            self.call_every(call, every)
+            self.call_every(call, interval_s)
 
-    def call_every(self, call: Callable[[], None], every: float) -> None:
+    def call_every(self, call: Callable[[], None], interval_s: float) -> None:
         loop = LoopingCall(self.run_guarded, call)
         loop.clock = self.reactor
-        loop.start(every, now=False)
+        loop.start(interval_s, now=False)
         self.loops.append(loop)
 
-    def listen(self, tries: int, failures: int = 0) -> None:
+    def listen(self, retries_left: int, failures: int = 0) -> None:
         """A predecessor under this address may still be dying, for as long as its own notice lets it: while
         somebody holds the address it is tried again without end. One that can't be ours is given up."""
         listen = self.setup.listen
@@ -220,18 +220,20 @@
             self.listening_port = self.reactor.listenTCP(
                 listen.port, self.callers, LISTEN_BACKLOG, listen.host
             )
-        except CannotListenError as trouble:
-            held = getattr(trouble.socketError, "errno", None) == errno.EADDRINUSE
-            if failures % LISTEN_FAILURES_PER_LOG_LINE == 0 or not held:
+        except CannotListenError as error:
+            in_use = getattr(error.socketError, "errno", None) == errno.EADDRINUSE
+            if failures % LISTEN_FAILURES_PER_LOG_LINE == 0 or not in_use:
                 self.log.event(
                     "listen",
-                    "taken" if held else "unusable",
-                    why=str(trouble),
-                    **({} if held else {"tries_left": tries}),
+                    "taken" if in_use else "unusable",
+                    why=str(error),
+                    **({} if in_use else {"tries_left": retries_left}),
                 )
-            if held or tries:
+            if in_use or retries_left:
                 self.reactor.callLater(
-                    LISTEN_RETRY_S, self.run_guarded, partial(self.listen, tries - (not held), failures + 1)
+                    LISTEN_RETRY_S,
+                    self.run_guarded,
+                    partial(self.listen, retries_left - (not in_use), failures + 1),
                 )
             else:
                 self.exit_code = 1
@@ -244,8 +246,8 @@
             self.reactor.listenUDP(
                 0, self.node_list, interface="::" if ":" in self.setup.node_list.host else ""
             )
-        except (OSError, CannotListenError) as trouble:
-            self.log.event("reports", "no-socket", why=str(trouble)[:200])
+        except (OSError, CannotListenError) as error:
+            self.log.event("reports", "no-socket", why=str(error)[:200])
 
     def log_reactor_failure(self, event: Mapping[str, Any]) -> None:
         """What went wrong where only the reactor was there to catch it."""
@@ -256,8 +258,8 @@
     def run_guarded(self, call: Callable[[], None]) -> None:
         try:
             call()
-        except Exception as trouble:
-            self.log.fault("service-fault", trouble)
+        except Exception as error:
+            self.log.fault("service-fault", error)
 
     def log_failure(self, failure: Failure, event: str) -> None:
         self.log.fault(event, failure.value)
@@ -282,8 +284,8 @@
                     if step.do is Do.DONE:
                         return
                     self.execute_step(job, step)
-                except Exception as trouble:
-                    self.log.fault("txn-fault", trouble, ref=intake.ref)
+                except Exception as error:
+                    self.log.fault("txn-fault", error, ref=intake.ref)
                     step = self.facade.give_up(intake, "defect")
                     if step.do is Do.DONE:
                         return
@@ -382,13 +384,13 @@
 
     # ---- new configuration
 
-    def reload(self, tries: int = MAX_RELOAD_RETRIES) -> None:
+    def reload(self, retries_left: int = MAX_RELOAD_RETRIES) -> None:
         """At SIGHUP, also while draining. A file that can't be used, or is not whole yet, changes nothing."""
         self.cancel_load()
         self.pending_load = self.read_setup(self.setup, self.facade.now())
-        self.continue_load(tries)
+        self.continue_load(retries_left)
 
-    def continue_load(self, tries: int) -> None:
+    def continue_load(self, retries_left: int) -> None:
         """One turn's share of the reading; requests are served between two."""
         if self.pending_load is None:
             return
@@ -396,13 +398,15 @@
             new = run_turn(self.pending_load)
         except Unusable as unusable:
             self.pending_load = None
-            self.log.event("reload", "unusable", why=" ".join(str(unusable).split()), tries_left=tries)
-            if tries:
-                again = partial(self.reload, tries - 1)
-                self.load_timer = self.reactor.callLater(RELOAD_RETRY_S, self.run_guarded, again)
+            self.log.event("reload", "unusable", why=" ".join(str(unusable).split()), tries_left=retries_left)
+            if retries_left:
+                retry = partial(self.reload, retries_left - 1)
+                self.load_timer = self.reactor.callLater(RELOAD_RETRY_S, self.run_guarded, retry)
             return
         if new is None:
-            self.load_timer = self.reactor.callLater(0, self.run_guarded, partial(self.continue_load, tries))
+            self.load_timer = self.reactor.callLater(
+                0, self.run_guarded, partial(self.continue_load, retries_left)
+            )
             return
         self.pending_load = None
         self.apply_setup(new)
@@ -428,10 +432,10 @@
             calls_skippable_by_product(setup),
         )
         self.log.event("reload", "taken", moved=[*revision.moved], needs_restart=[*revision.needs_restart])
-        parts: dict[str, Any] = {"kernel": self.kernel, "ledger": self.ledger, "node_list": self.node_list}
+        clients: dict[str, Any] = {"kernel": self.kernel, "ledger": self.ledger, "node_list": self.node_list}
         for name in revision.moved:
-            part, address = parts[name], getattr(setup, name)
-            self.run_guarded(partial(part.move, address.host, address.port))
+            client, address = clients[name], getattr(setup, name)
+            self.run_guarded(partial(client.move, address.host, address.port))
         self.run_guarded(self.report)
 
     # ---- drain
@@ -449,8 +453,8 @@
         self.draining = True
         now = self.reactor.seconds()
         signalled_at = now if self.signalled_at is None else self.signalled_at
-        stop = self.setup.stop / 1_000_000
-        self.kill_at = signalled_at + stop
+        stop_s = self.setup.stop / 1_000_000
+        self.kill_at = signalled_at + stop_s
         self.log.event("drain", "begun", owed=self.facade.owed(), connections=len(self.callers.connections))
         self.run_guarded(lambda: self.node_list.report(False))
         if self.peers is not None:
@@ -458,15 +462,16 @@
         self.run_guarded(lambda: self.facade.leave(self.setup.stop, int((now - signalled_at) * 1_000_000)))
         # Against callers that hear of it late, while a successor is cold or not listed yet: what comes within
         # the grace may still run, so the door stays open for most of it.
-        grace: Any = self.setup.plain.get("rules.drain_grace", 0)
+        grace_us: Any = self.setup.plain.get("rules.drain_grace", 0)
         self.call_at(
-            signalled_at + min(ACCEPTING_SHARE_OF_GRACE * grace / 1_000_000, stop / 2), self.stop_accepting
+            signalled_at + min(ACCEPTING_SHARE_OF_GRACE * grace_us / 1_000_000, stop_s / 2),
+            self.stop_accepting,
         )
         # All is answered by then. Answers that wait for their reader, and what arrives in these moments, must
         # not be lost to sockets that the end of the process closes over unread bytes. Of a short notice one
         # half is left for what lies unread when it comes.
         self.call_at(
-            max(self.kill_at - CLOSE_STREAMS_BEFORE_KILL_S, signalled_at + stop / 2), self.close_streams
+            max(self.kill_at - CLOSE_STREAMS_BEFORE_KILL_S, signalled_at + stop_s / 2), self.close_streams
         )
         self.call_at(self.kill_at - EXIT_BEFORE_KILL_S, self.finish_before_kill)
         self.call_every(self.check_drained, DRAIN_CHECK_INTERVAL_S)
@@ -549,16 +554,20 @@
     reactor.seconds = time.monotonic
     log = Log(setup.name)
     # What the machine grants may be less than what the file says: the parts are shared out of what there is.
-    hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
+    hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
 
     def cap_sockets(setup: Setup) -> Setup:
-        return setup if hard == resource.RLIM_INFINITY else replace(setup, sockets=min(hard, setup.sockets))
+        return (
+            setup
+            if hard_limit == resource.RLIM_INFINITY
+            else replace(setup, sockets=min(hard_limit, setup.sockets))
+        )
 
     def read_granted_setup(before: Setup, now: int) -> Steps[Setup]:
         return cap_sockets((yield from read_setup(before, now)))
 
     setup = cap_sockets(setup)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (setup.sockets, hard))
+    resource.setrlimit(resource.RLIMIT_NOFILE, (setup.sockets, hard_limit))
     instance = Instance(setup, reactor, log, read_granted_setup)
     if peers is not None:
         instance.attach_peers(peers(setup, reactor, log))
--- a/limeridge/sim/mutants.py
+++ b/limeridge/sim/mutants.py
@@ -359,15 +359,15 @@
     _m(
         "reload-unmoved",
         SERVICE,
-        "            self.run_guarded(partial(part.move, address.host, address.port))\n",
+        "            self.run_guarded(partial(client.move, address.host, address.port))\n",
         "            address.host\n",
         "new addresses are logged and not taken up",
     ),
     _m(
         "reload-once",
         SERVICE,
-        "            if tries:\n                again",
-        "            if not tries:\n                again",
+        "            if retries_left:\n                retry",
+        "            if not retries_left:\n                retry",
         "a file that was half written is not read again",
     ),
     _m(
