--- a/limeridge/net/service.py
+++ b/limeridge/net/service.py
@@ -1,7 +1,8 @@
-"""The wiring of a service instance: callers, kernel, ledger and node list round the facade, and its life.
+"""One service instance: connects callers, kernel, ledger and node list to the facade, from start to exit.
 
-It owns the handler of a txn, the timers, the shares of memory and descriptors, and the drain at SIGTERM. It
-must never judge a txn, and no exception in one txn's path may reach another or end the process.
+Owns the handler of each txn, the timers, the division of memory and descriptors, and the drain at SIGTERM. It
+takes no decision on a txn, and an exception in the handling of one txn must not reach another one or end the
+process.
 """
 
 from __future__ import annotations
@@ -47,37 +48,30 @@
 from limeridge.net.log import Log
 from limeridge.net.nodelist import EVERY, NodeList
 
-GAUGE_TIMEOUT_S = (
-    0.02  # seconds that a tick waits for its gauges; answers near their due time can't wait long
-)
-OVERDUE_CHECK_INTERVAL_S = 0.05  # seconds between two looks for txns past their due time
-DEEP_CHECK_TIMEOUT_S = 0.5  # seconds that a deep check may take
+GAUGE_TIMEOUT_S = 0.02  # answers close to their due time can't wait longer for a tick's gauges
+OVERDUE_CHECK_INTERVAL_S = 0.05  # between two checks for txns past their due time
+DEEP_CHECK_TIMEOUT_S = 0.5
 LISTEN_BACKLOG = 512
-LISTEN_RETRY_S, MAX_LISTEN_RETRIES = 0.05, 100  # seconds, times that an address which can't be ours is tried
-LISTEN_FAILURES_PER_LOG_LINE = 20  # tries between two log lines of an address that somebody still holds
-RESERVED_DESCRIPTORS = (
-    12  # descriptors of the process besides those of callers and calls: streams, loop, port, links, reports
-)
-CLOSE_STREAMS_BEFORE_KILL_S = (
-    0.15  # seconds before the kill at which the connections that are left are closed in good order
-)
-EXIT_BEFORE_KILL_S = 0.08  # seconds before the kill at which the process ends, whatever is still open
-QUIET_PERIOD_S = 0.15  # seconds without a connection or an open txn after which a drained instance ends
-RELOAD_RETRY_S, MAX_RELOAD_RETRIES = (
-    0.5,
-    6,
-)  # seconds, times, that a configuration which can't be used is read again
-GC_THRESHOLD = 10_000  # objects made and not freed between two collections
-ACCEPTING_SHARE_OF_GRACE = 0.9  # of the grace, that a draining instance goes on taking txns
-DRAIN_CHECK_INTERVAL_S = 0.05  # seconds between two looks at the drain
-FINAL_DRAIN_CHECK_INTERVAL_S = 0.01  # the same once all streams were ended
-
-# The file anew, by what is in force and the time in microseconds.
+# The retries are bounded only for errors other than an address in use.
+LISTEN_RETRY_S, MAX_LISTEN_RETRIES = 0.05, 100
+LISTEN_FAILURES_PER_LOG_LINE = 20  # while another process holds the address
+# Descriptors that are for neither callers nor calls: standard streams, event loop, port, links, reports.
+RESERVED_DESCRIPTORS = 12
+CLOSE_STREAMS_BEFORE_KILL_S = 0.15  # when the remaining connections are closed in order
+EXIT_BEFORE_KILL_S = 0.08  # when the process exits, whatever is still open
+QUIET_PERIOD_S = 0.15  # a drained instance exits after this time without connections and open txns
+RELOAD_RETRY_S, MAX_RELOAD_RETRIES = 0.5, 6  # for a configuration that is invalid or incomplete
+GC_THRESHOLD = 10_000
+ACCEPTING_SHARE_OF_GRACE = 0.9  # of the grace period, while a draining instance accepts connections
+DRAIN_CHECK_INTERVAL_S = 0.05
+FINAL_DRAIN_CHECK_INTERVAL_S = 0.01  # once all streams are closed
+
+# Reads the configuration again, given the setup in force and the time in microseconds.
 ReadSetup = Callable[[Setup, int], Steps[Setup]]
 
 
 class Peers(Protocol):
-    """Membership, where there is any: a part beside the others, that may bound the calls."""
+    """The optional membership component, which may limit the calls to the ledger."""
 
     gate: Gate
 
@@ -88,23 +82,24 @@
 
 
 class Job:
-    """One txn in hand: its news in order, for the one handler that reads them."""
+    """An open txn, with the queue of events for its handler."""
 
     def __init__(self, intake: Intake, may_skip_calls: bool) -> None:
         self.intake = intake
-        self.may_skip_calls = may_skip_calls  # by the revision under which it arrived
+        self.may_skip_calls = may_skip_calls  # under the configuration revision at its arrival
         self.events: deque[News] = deque()
         self.waiting_handler: Deferred[News] | None = None
         self.call: Call | None = None
         self.blocked: Blocked | None = None
 
     def next_event(self) -> Deferred[News]:
-        """To be asked for only where no news stand by."""
+        """The next event; only to be called while the queue is empty."""
         self.waiting_handler = Deferred()
         return self.waiting_handler
 
     def deliver(self, news: News) -> bool:
-        """False where the handler waits for something else."""
+        """Passes the event to the handler; False if it is queued because the handler waits for something
+        else."""
         handler_waiting, self.waiting_handler = self.waiting_handler, None
         if handler_waiting is None:
             self.events.append(news)
@@ -125,12 +120,12 @@
         unix: Callable[[], float] = time.time,
     ) -> None:
         self.setup, self.reactor, self.log, self.read_setup = setup, reactor, log, read_setup
-        self.pending_load: Steps[Setup] | None = None  # of a new configuration
-        self.load_timer: Any = None  # the timer of its next turn, or of another try
+        self.pending_load: Steps[Setup] | None = None  # a new configuration being read
+        self.load_timer: Any = None  # of its next step, or of a retry
         self.draining, self.stopped_accepting = False, False
-        self.signalled_at: float | None = None  # the notice to leave, by its signal
+        self.signalled_at: float | None = None  # the first SIGTERM or SIGINT
         self.kill_at = 0.0
-        self.streams_closed = False  # all streams were ended, and none can be opened any more
+        self.streams_closed = False  # and no new ones can be opened
         self.quiet_since: float | None = None
         self.ended = False
         self.jobs: dict[str, Job] = {}
@@ -144,7 +139,7 @@
             min(RESULTS_KEPT, memory_bytes // 8),
             setup.tenants.quota,
         )
-        # Descriptors: half and a bit for callers, a few for ourselves; the kernel's link keeps its room.
+        # Descriptors: more than half for callers, and a reserve that keeps room for the link to the kernel.
         reserved = max(16, min(48, setup.sockets // 4))
         max_ledger_calls = min(128, setup.sockets // 8)
         self.callers = Callers(
@@ -169,7 +164,7 @@
         self.peers: Peers | None = None
 
     def attach_peers(self, peers: Peers) -> None:
-        """Before the start. Without peers nothing of this is there."""
+        """Adds the membership component; only before the start."""
         self.peers = peers
         share = peers.share()
         if share is not None:
@@ -211,8 +206,9 @@
         self.loops.append(loop)
 
     def listen(self, retries_left: int, failures: int = 0) -> None:
-        """A predecessor under this address may still be dying, for as long as its own notice lets it: while
-        somebody holds the address it is tried again without end. One that can't be ours is given up."""
+        """Opens the listening socket. While another process holds the address, which may be a predecessor
+        that is still draining, this is retried without limit; for other errors the number of retries is
+        bounded."""
         listen = self.setup.listen
         if self.draining:
             return
@@ -240,8 +236,8 @@
                 self.stop()
 
     def open_report_socket(self) -> None:
-        """Tried again with each report until it is there: a start in a moment without descriptors or ports
-        must not leave the instance unlisted for its whole life."""
+        """Opens the UDP socket for reports to the node list. Each report retries this, so that a temporary
+        lack of descriptors or ports at the start does not keep the instance off the node list for good."""
         try:
             self.reactor.listenUDP(
                 0, self.node_list, interface="::" if ":" in self.setup.node_list.host else ""
@@ -250,7 +246,7 @@
             self.log.event("reports", "no-socket", why=str(error)[:200])
 
     def log_reactor_failure(self, event: Mapping[str, Any]) -> None:
-        """What went wrong where only the reactor was there to catch it."""
+        """Logs an exception that was caught only by the reactor."""
         failure = event.get("log_failure")
         if failure is not None:
             self.log.fault("service-fault", failure.value, code="reactor")
@@ -264,7 +260,7 @@
     def log_failure(self, failure: Failure, event: str) -> None:
         self.log.fault(event, failure.value)
 
-    # ---- a txn
+    # ---- txns
 
     def serve(self, intake: Intake) -> None:
         if intake.ref in self.jobs:
@@ -327,7 +323,7 @@
     def withdraw(self, intake: Intake) -> None:
         self.facade.gone(intake)
 
-    # ---- what the kernel tells
+    # ---- events from the kernel
 
     def booted(self, cold: bool, ago: int) -> None:
         self.facade.boot(cold, ago)
@@ -340,7 +336,7 @@
             self.deliver(job, news)
         return job is not None
 
-    # ---- what callers are told
+    # ---- information for callers
 
     def value(self) -> float | None:
         return self.facade.value
@@ -349,8 +345,8 @@
         return self.facade.idle_limit
 
     def check(self, deep: bool, answer: Callable[[bool], None]) -> None:
-        """From store, as the brain wants it. Whether work gets done is asked of the kernel only where no
-        run has ended well since the last such question."""
+        """Answers a health check from known state. A deep check runs a probe in the kernel, unless a run has
+        succeeded since the previous deep check."""
         ready = self.facade.healthy and self.kernel.present and not self.draining
         if not deep or not ready or self.run_succeeded or not self.kernel.ready:
             self.run_succeeded = self.run_succeeded and not deep
@@ -358,14 +354,14 @@
         else:
             self.kernel.prove(DEEP_CHECK_TIMEOUT_S).addCallback(answer)
 
-    # ---- time
+    # ---- timers
 
     def check_overdue(self) -> None:
         self.update_share()
         self.facade.guard()
 
     def update_share(self) -> None:
-        """The brain plans by the share as it is now; the gate sees to it that a call keeps to it."""
+        """Gives the brain the current share of calls to plan with; the gate enforces it at each call."""
         share = None if self.peers is None else self.peers.share()
         if share is not None:
             self.facade.allow(share)
@@ -379,19 +375,20 @@
     def report(self) -> None:
         if self.node_list.transport is None:
             self.open_report_socket()
-        if self.kernel.present and not self.draining:  # without its kernel it can start nothing
+        if self.kernel.present and not self.draining:  # without its kernel it can run nothing
             self.node_list.report(self.facade.healthy)
 
-    # ---- new configuration
+    # ---- configuration reload
 
     def reload(self, retries_left: int = MAX_RELOAD_RETRIES) -> None:
-        """At SIGHUP, also while draining. A file that can't be used, or is not whole yet, changes nothing."""
+        """Reads the configuration at SIGHUP, also while draining. An invalid or incomplete file changes
+        nothing."""
         self.cancel_load()
         self.pending_load = self.read_setup(self.setup, self.facade.now())
         self.continue_load(retries_left)
 
     def continue_load(self, retries_left: int) -> None:
-        """One turn's share of the reading; requests are served between two."""
+        """Reads one part of the configuration; requests are served between two parts."""
         if self.pending_load is None:
             return
         try:
@@ -412,7 +409,7 @@
         self.apply_setup(new)
 
     def cancel_load(self) -> None:
-        """Whatever is being read is not wanted any more."""
+        """Drops a configuration that is being read, and any retry."""
         if self.load_timer is not None and self.load_timer.active():
             self.load_timer.cancel()
         if self.pending_load is not None:
@@ -420,8 +417,8 @@
             self.pending_load = None
 
     def apply_setup(self, new: Setup) -> None:
-        """Between two requests: whoever arrived keeps the revision that it arrived under. Open txns, runs and
-        what the brain has learned hang on what does not change live: that stays until a restart."""
+        """Puts a new configuration in force. Open txns keep the revision under which they arrived. Settings
+        on which open txns, runs and the brain's statistics depend stay as they are until a restart."""
         fixed = frozenset[str]() if self.peers is None else FIXED_FOR_MEMBERS
         revision = revised(self.setup, new, fixed)
         setup = revision.setup
@@ -441,8 +438,8 @@
     # ---- drain
 
     def record_signal(self, number: int) -> None:
-        """In the handler of a signal itself. The kill follows the notice to leave by its time, and a turn of
-        the loop that takes long puts off what is done about it."""
+        """Notes the time of SIGTERM or SIGINT; called in the signal handler itself. The time until SIGKILL
+        counts from the signal, and a long iteration of the event loop may delay the start of the drain."""
         if number in (signal.SIGTERM, signal.SIGINT) and self.signalled_at is None:
             self.signalled_at = self.reactor.seconds()
 
@@ -460,16 +457,16 @@
         if self.peers is not None:
             self.run_guarded(self.peers.leave)
         self.run_guarded(lambda: self.facade.leave(self.setup.stop, int((now - signalled_at) * 1_000_000)))
-        # Against callers that hear of it late, while a successor is cold or not listed yet: what comes within
-        # the grace may still run, so the door stays open for most of it.
+        # Callers may learn of the drain late, and a successor may be cold or not listed yet. Requests within
+        # the grace period may still run, so connections are accepted for most of it.
         grace_us: Any = self.setup.plain.get("rules.drain_grace", 0)
         self.call_at(
             signalled_at + min(ACCEPTING_SHARE_OF_GRACE * grace_us / 1_000_000, stop_s / 2),
             self.stop_accepting,
         )
-        # All is answered by then. Answers that wait for their reader, and what arrives in these moments, must
-        # not be lost to sockets that the end of the process closes over unread bytes. Of a short notice one
-        # half is left for what lies unread when it comes.
+        # All txns are answered by then. Exiting with unread data in a socket would send a reset and could
+        # destroy answers still in flight, so streams are closed first. If the time until SIGKILL is short,
+        # half of it is left for requests that are unread when the signal comes.
         self.call_at(
             max(self.kill_at - CLOSE_STREAMS_BEFORE_KILL_S, signalled_at + stop_s / 2), self.close_streams
         )
@@ -477,7 +474,7 @@
         self.call_every(self.check_drained, DRAIN_CHECK_INTERVAL_S)
 
     def call_at(self, time: float, call: Callable[[], None]) -> None:
-        """Calls at this time of the reactor's clock, or in the next turn where it is past."""
+        """Calls at this time of the reactor's clock, or in the next iteration if it has passed."""
         self.reactor.callLater(max(0.0, time - self.reactor.seconds()), self.run_guarded, call)
 
     def stop_accepting(self) -> None:
@@ -489,18 +486,19 @@
             self.run_guarded(lambda: close_listener(self.listening_port))
 
     def close_streams(self) -> None:
-        """What lies unread now is read in this turn yet; then the streams are ended."""
+        """Stops accepting, and closes all streams once this iteration has read the pending requests."""
         self.stop_accepting()
         self.reactor.callLater(0, self.run_guarded, self.finish_streams)
 
     def finish_streams(self) -> None:
-        self.facade.tick(self.facade.now(), None)  # what this turn of the loop read is answered first
+        self.facade.tick(self.facade.now(), None)  # answers what was read in this iteration
         self.callers.close_all()
         self.streams_closed = True
         self.call_every(self.check_drained, FINAL_DRAIN_CHECK_INTERVAL_S)
 
     def check_drained(self) -> None:
-        """Ends when nobody is connected and nothing is open: for a while where somebody may still connect."""
+        """Exits when no txn or connection is open; before the streams are closed, only after a quiet
+        period."""
         now = self.reactor.seconds()
         busy = self.jobs or self.callers.connections or not self.stopped_accepting
         self.quiet_since = None if busy else self.quiet_since if self.quiet_since is not None else now
@@ -508,7 +506,7 @@
             self.finish("done")
 
     def finish_before_kill(self) -> None:
-        """Just before the kill, whatever is still open."""
+        """Exits just before SIGKILL, whatever is still open."""
         self.finish("time-up")
 
     def finish(self, code: str) -> None:
@@ -519,7 +517,7 @@
         self.stop()
 
     def signal_handlers(self) -> dict[int, Callable[[], None]]:
-        """What each signal does, in the reactor's turn."""
+        """The action for each signal, to be run by the reactor."""
         return {
             signal.SIGTERM: self.leave,
             signal.SIGINT: self.leave,
@@ -539,21 +537,21 @@
 
 
 def calls_skippable_by_product(setup: Setup) -> list[bool]:
-    """By class, whether its runs can go on without their calls."""
+    """By product, whether its runs can go on without their calls."""
     values: Any = setup.plain.get("instance.skip_values") or []
     return [number < len(values) and values[number] > 0 for number in range(len(setup.products))]
 
 
 def run(setup: Setup, read_setup: ReadSetup, peers: Callable[[Setup, Any, Log], Peers] | None = None) -> int:
-    """`peers` makes the part of membership; it raises Unusable where its settings don't fit the
-    instance's."""
+    """Runs an instance until it exits. `peers` makes the membership component; it raises Unusable if its
+    settings don't fit the instance's."""
     from twisted.internet import reactor as the_reactor
 
     reactor: Any = the_reactor
-    # Timers must not follow Unix time, which may step back and hold them up.
+    # Unix time may step back, which would delay timers.
     reactor.seconds = time.monotonic
     log = Log(setup.name)
-    # What the machine grants may be less than what the file says: the parts are shared out of what there is.
+    # The system's limit may be lower than the configured one; descriptors are divided by the lower.
     hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
 
     def cap_sockets(setup: Setup) -> Setup:
@@ -581,13 +579,13 @@
 
     for number, action in instance.signal_handlers().items():
         signal.signal(number, handler(action))
-    signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP])  # one that came meanwhile is taken now
-    # Begun, as Twisted keeps 65,536 events for whoever begins later, with all that they hold on to.
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP])  # blocked until now, so that none is lost
+    # Until logging begins, Twisted keeps up to 65,536 events and all the objects that they refer to.
     observer: Any = instance.log_reactor_failure
     globalLogBeginner.beginLoggingTo([observer], discardBuffer=True, redirectStandardIO=False)
     gc.collect()
-    gc.set_threshold(GC_THRESHOLD)  # against a look for cycles every few txns; few are made
-    gc.freeze()  # what stands now stays; a collection need not look at it again
+    gc.set_threshold(GC_THRESHOLD)  # reference cycles are rare; the default would collect every few txns
+    gc.freeze()  # objects that live as long as the process need not be scanned again
     reactor.callWhenRunning(instance.start)
     reactor.run(installSignalHandlers=False)
     return instance.exit_code
--- a/limeridge/sim/mutants.py
+++ b/limeridge/sim/mutants.py
@@ -791,7 +791,7 @@
     _m(
         "parting-unasked",
         SERVICE,
-        "        self.facade.tick(self.facade.now(), None)  # what this turn of the loop read is answered first\n",
+        "        self.facade.tick(self.facade.now(), None)  # answers what was read in this iteration\n",
         "",
         "what the last turn read is not answered before the streams end",
     ),
