--- a/limeridge/net/callers.py
+++ b/limeridge/net/callers.py
@@ -25,7 +25,7 @@
 
 from limeridge.configuration.tenants import TenantTable
 from limeridge.facade import Answer, Intake, Kind
-from limeridge.net.admission_filter import admit_no_more
+from limeridge.net.admission_filter import block_new_connections
 from limeridge.net.log import Log
 
 MAX_HEADER_BYTES = 1_024
@@ -794,7 +794,7 @@
     drop the requests they sent. New connections are blocked, all of the backlog is accepted, also above the
     connection limit, and the socket is closed at once; `stopListening` would leave it open until the next
     iteration of the event loop."""
-    admit_no_more(port.socket)
+    block_new_connections(port.socket)
     port.socket.listen(0)
     port.numberAccepts = MAX_FINAL_ACCEPTS
     port.doRead()
--- a/limeridge/net/service.py
+++ b/limeridge/net/service.py
@@ -443,7 +443,7 @@
         if number in (signal.SIGTERM, signal.SIGINT) and self.signalled_at is None:
             self.signalled_at = self.reactor.seconds()
 
-    def leave(self) -> None:
+    def start_drain(self) -> None:
         if self.draining:
             self.log.event("drain", "again")
             return
@@ -519,8 +519,8 @@
     def signal_handlers(self) -> dict[int, Callable[[], None]]:
         """The action for each signal, to be run by the reactor."""
         return {
-            signal.SIGTERM: self.leave,
-            signal.SIGINT: self.leave,
+            signal.SIGTERM: self.start_drain,
+            signal.SIGINT: self.start_drain,
             signal.SIGHUP: lambda: self.run_guarded(self.reload),
         }
 
--- a/tests/test_configuration_live.py
+++ b/tests/test_configuration_live.py
@@ -493,7 +493,7 @@
 def test_a_reload_goes_on_in_a_drain_and_ends_with_the_instance() -> None:
     net = booted()
     net.file = many(1_000)
-    net.instance.leave()
+    net.instance.start_drain()
     net.instance.reload()
     net.pass_time(0.2)
     assert net.log.codes("reload") == ["taken"] and net.instance.draining
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -198,7 +198,7 @@
             s.kernel.done(ref, doc)
             s.until("the answer to be given", lambda: not ours.open_txns)
         assert asked < 200
-        s.instance.leave()
+        s.instance.start_drain()
         s.turn(2)
         s.instance.close_streams()
         s.until("all answers and the end", lambda: (caller.answers(), caller.end)[1])
@@ -245,7 +245,7 @@
     with stepped(settings=settings, stop_ms=20_000) as s:
         caller, _ = s.standing()
         s.served(caller)
-        s.instance.leave()
+        s.instance.start_drain()
         now = time.time() * 1000
         ref = caller.ask(s=int(now + 1_000 * (grace == 0)))  # grace 0: it landed a moment after the notice
         if grace:
@@ -261,7 +261,7 @@
     with stepped(stop_ms=20_000) as s:
         caller, _ = s.standing()
         s.served(caller)
-        s.instance.leave()
+        s.instance.start_drain()
         caller.ask()  # unread while the door is shut
         s.instance.stop_accepting()
         answer = s.until(
@@ -276,7 +276,7 @@
     with stepped(stop_ms=1_000) as s:
         caller, _ = s.standing()
         s.served(caller)
-        s.instance.leave()
+        s.instance.start_drain()
         s.until(
             "the time in which nothing more is begun", lambda: s.reactor.seconds() > s.instance.kill_at - 0.2
         )
@@ -293,7 +293,7 @@
         caller, _ = s.standing()
         ref = caller.ask()
         s.runs(ref)
-        s.instance.leave()
+        s.instance.start_drain()
         s.until(
             "the time of the last look",
             lambda: s.reactor.seconds() > s.instance.kill_at - CLOSE_STREAMS_BEFORE_KILL_S + 0.01,
@@ -310,7 +310,7 @@
     caller = net.caller()
     stopped: list[bool] = []
     net.reactor.stop = lambda: stopped.append(True)  # type: ignore[method-assign]
-    net.instance.leave()
+    net.instance.start_drain()
     stop = net.instance.kill_at - net.reactor.seconds()
     net.pass_time(stop - CLOSE_STREAMS_BEFORE_KILL_S + 0.02)
     assert caller.transport.half_closed and not stopped
@@ -323,7 +323,7 @@
         caller, _ = s.standing()
         s.served(caller)
         caller.ask()
-        s.instance.leave()
+        s.instance.start_drain()
         while s.reactor.seconds() < s.instance.kill_at - 0.04:  # a pause: all is due at once
             pass
         s.until("the end of the stream", lambda: caller.answers() and caller.end)
@@ -347,8 +347,8 @@
     assert before > 2
     stopped: list[bool] = []
     net.reactor.stop = lambda: stopped.append(True)  # type: ignore[method-assign]
-    net.instance.leave()
-    net.instance.leave()
+    net.instance.start_drain()
+    net.instance.start_drain()
     net.pass_time(2.0)
     assert len(tried) == before and stopped and net.instance.exit_code == 0
     assert net.log.codes("drain") == ["begun", "again", "done"]
@@ -476,7 +476,7 @@
     net.file |= {"roster": "127.0.3.3:7947"}
     net.instance.reload()
     assert net.reactor.reported_to == ("127.0.3.3", 7947)
-    net.instance.leave()
+    net.instance.start_drain()
     assert net.reactor.reports[-1] == b"HERE n1 off"
     net.file |= {"roster": "127.0.3.4:7948"}
     net.instance.reload()
@@ -536,7 +536,7 @@
         place.listen(8)
         place.setblocking(False)
         s.file = s.file | {"kernel": address(place)}
-        s.instance.leave()
+        s.instance.start_drain()
         s.instance.reload()
         s.instance.reload()  # the address is the same now: the dial that is under way is the one
         s.boot(listener=place)
@@ -975,7 +975,7 @@
         ended: list[float] = []
         net.reactor.stop = lambda: ended.append(net.reactor.seconds())  # type: ignore[method-assign] # noqa: B023
         net.pass_time(offset, 0.001)
-        net.instance.leave()
+        net.instance.start_drain()
         kill_at = net.instance.kill_at
         net.pass_time(kill_at - net.reactor.seconds(), 0.001)
         assert ended and EXIT_BEFORE_KILL_S - 0.002 <= kill_at - ended[0] <= EXIT_BEFORE_KILL_S + 0.002
@@ -985,7 +985,7 @@
     with stepped(stop_ms=1_000) as s:
         caller, _ = s.standing()
         s.served(caller)
-        s.instance.leave()
+        s.instance.start_drain()
         s.until("the end of the stream", lambda: caller.pump().end)
         caller.close()
         s.until("the process's own end", lambda: s.ended)
@@ -1003,7 +1003,7 @@
     instance.record_signal(signal.SIGTERM)
     net.reactor.rightNow += 0.4  # the turn goes on
     instance.record_signal(signal.SIGINT)
-    instance.leave()
+    instance.start_drain()
     stop = SAMPLE["stop_ms"] / 1_000
     assert instance.kill_at == pytest.approx(signalled + stop)
     brain = instance.facade.brain
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -175,7 +175,7 @@
     members.calls = 1
     net.pass_time(0.2)
     assert instance.facade.brain.call_most == 1
-    instance.leave()
+    instance.start_drain()
     assert members.heard == ["leave"]
     net.pass_time(4.0)
     assert members.heard == ["leave", "stop"]
@@ -397,8 +397,8 @@
     ref = net.ask(busy, 1)
     net.pass_time(0.6)
     assert net.reactor.reports and set(net.reactor.reports) == {b"HERE n1 on"}
-    net.instance.leave()
-    net.instance.leave()
+    net.instance.start_drain()
+    net.instance.start_drain()
     assert net.log.codes("drain") == ["begun", "again"] and net.reactor.reports.pop() == b"HERE n1 off"
     early = net.caller()  # it has not heard yet, and what comes within the grace still runs
     soon = net.ask(early, 1)
@@ -428,7 +428,7 @@
     stopped: list[bool] = []
     net.reactor.stop = lambda: stopped.append(True)  # type: ignore[method-assign]
     caller = net.caller()
-    net.instance.leave()
+    net.instance.start_drain()
     net.pass_time(0.5)
     assert not stopped
     net.lose(caller)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -240,7 +240,7 @@
     net, chance = fleet.net, fleet.chance
     for number in range(250):
         if number == 200:
-            net.instance.leave()
+            net.instance.start_drain()
         fleet.step()
         fleet.settle()
         net.pass_time(chance.choice([0.002, 0.02, 0.06]), 0.002)
--- a/tests/test_unread.py
+++ b/tests/test_unread.py
@@ -188,7 +188,7 @@
         port.connectionLost = connect_first
         before = s.caller()
         asked = {before.ask(): before}
-        s.instance.leave()
+        s.instance.start_drain()
         s.instance.stop_accepting()
         [(far, connected)] = late
         far.close()
