--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -24,7 +24,7 @@
 from limeridge.net.service import Instance
 
 
-def bound(kind: int = socket.SOCK_STREAM) -> socket.socket:
+def bound_socket(kind: int = socket.SOCK_STREAM) -> socket.socket:
     made = socket.socket(socket.AF_INET, kind)
     made.bind(("127.0.0.1", 0))
     return made
@@ -46,7 +46,7 @@
     return f"{host}:{port}"
 
 
-class Far:
+class RemoteEnd:
     """A far end: reads what is there, and knows how its stream ended."""
 
     def __init__(self, made: socket.socket) -> None:
@@ -55,7 +55,7 @@
         self.data = b""
         self.end = ""  # "end" for the end of the stream, "reset"
 
-    def pump(self) -> Far:
+    def read_available(self) -> RemoteEnd:
         while not self.end:
             try:
                 data = self.socket.recv(65_536)
@@ -83,33 +83,33 @@
         self.socket.close()
 
 
-class CallerEnd(Far):
+class CallerEnd(RemoteEnd):
     def __init__(self, made: socket.socket) -> None:
         super().__init__(made)
         self.frames = FrameParser()
-        self.heard: list[dict[str, Any]] = []
+        self.received: list[dict[str, Any]] = []
         self.next_id = 0
 
-    def answers(self) -> list[dict[str, Any]]:
+    def messages(self) -> list[dict[str, Any]]:
         """All that was heard so far, farewells among it."""
-        self.pump()
+        self.read_available()
         data, self.data = self.data, b""
-        self.heard += [orjson.loads(body) for body in self.frames.feed(data)]
-        return self.heard
+        self.received += [orjson.loads(body) for body in self.frames.feed(data)]
+        return self.received
 
-    def by_id(self) -> dict[int, dict[str, Any]]:
-        return {each["id"]: each for each in self.answers() if each.get("id")}
+    def answers_by_id(self) -> dict[int, dict[str, Any]]:
+        return {each["id"]: each for each in self.messages() if each.get("id")}
 
-    def said_farewell(self) -> bool:
-        return any(each.get("method") == "farewell" for each in self.answers())
+    def received_farewell(self) -> bool:
+        return any(each.get("method") == "farewell" for each in self.messages())
 
-    def ask(self, method: str = "look", **more: Any) -> str:
+    def send_request(self, method: str = "look", **more: Any) -> str:
         """The whole message in one write; gives its ref."""
-        data, ref = self.framed(method, **more)
+        data, ref = self.encode_request(method, **more)
         self.write(data)
         return ref
 
-    def framed(self, method: str = "look", **more: Any) -> tuple[bytes, str]:
+    def encode_request(self, method: str = "look", **more: Any) -> tuple[bytes, str]:
         self.next_id += 1
         ref = f"{self.socket.fileno():04x}{id(self) % 0xFFFF:04x}{self.next_id:08x}"
         params = {
@@ -125,124 +125,128 @@
         body = {"jsonrpc": "2.0", "id": self.next_id, "method": method, "params": params}
         return encode_frame(orjson.dumps(body)), str(params["i"])
 
-    def check(self) -> None:
+    def send_heartbeat(self) -> None:
         self.next_id += 1
         self.write(encode_frame(orjson.dumps({"jsonrpc": "2.0", "id": self.next_id, "method": "heartbeat"})))
 
 
-class KernelEnd(Far):
+class KernelEnd(RemoteEnd):
     """The kernel's end of a link; its cursor goes on over links."""
 
     cursor = 0
 
     def commands(self, event: str = "") -> list[dict[str, Any]]:
         """What came so far, but for the gauges that are asked for."""
-        self.pump()
+        self.read_available()
         found = [orjson.loads(line) for line in self.data.splitlines(keepends=True) if line.endswith(b"\n")]
         return [each for each in found if each["event"] != "SYSINFO" and event in ("", each["event"])]
 
-    def tell(self, **fields: Any) -> None:
+    def send_event(self, **fields: Any) -> None:
         self.write(orjson.dumps(fields) + b"\n")
 
-    def note(self, **fields: Any) -> None:
+    def send_notice(self, **fields: Any) -> None:
         self.cursor += 1
-        self.tell(cursor=self.cursor, **fields)
+        self.send_event(cursor=self.cursor, **fields)
 
-    def done(self, ref: str, doc: str = "eA==") -> None:
-        self.note(event="REAP", handle=ref, fate="ok", lasted=5, arg=doc)
+    def finish_run(self, ref: str, doc: str = "eA==") -> None:
+        self.send_notice(event="REAP", handle=ref, fate="ok", lasted=5, arg=doc)
 
 
-class Stepped:
+class SteppedInstance:
     def __init__(self, boot: bool = True, **changes: Any) -> None:
         self.reactor: Any = EPollReactor()
         self.reactor.seconds = time.monotonic
-        self.ended: list[bool] = []
-        self.reactor.stop = lambda: self.ended.append(True)
-        self.kernels, self.ledgers, self.roster = bound(), bound(), bound(socket.SOCK_DGRAM)
-        for made in (self.kernels, self.ledgers):
+        self.stopped: list[bool] = []
+        self.reactor.stop = lambda: self.stopped.append(True)
+        self.kernel_listener, self.ledger_listener, self.node_list_socket = (
+            bound_socket(),
+            bound_socket(),
+            bound_socket(socket.SOCK_DGRAM),
+        )
+        for made in (self.kernel_listener, self.ledger_listener):
             made.listen(64)
-        for made in (self.kernels, self.ledgers, self.roster):
+        for made in (self.kernel_listener, self.ledger_listener, self.node_list_socket):
             made.setblocking(False)
-        self.file: dict[str, Any] = (
+        self.configuration: dict[str, Any] = (
             SAMPLE
             | {
                 "listen": free_address(),
-                "kernel": address(self.kernels),
-                "records": address(self.ledgers),
-                "roster": address(self.roster),
+                "kernel": address(self.kernel_listener),
+                "records": address(self.ledger_listener),
+                "roster": address(self.node_list_socket),
             }
             | changes
         )
         self.log = Sink()
         self.instance = Instance(
-            setup_of(self.file),
+            setup_of(self.configuration),
             self.reactor,
             self.log,  # type: ignore[arg-type]
-            lambda before, now: reading("config", lambda _: [orjson.dumps(self.file)], before, now),
+            lambda before, now: reading("config", lambda _: [orjson.dumps(self.configuration)], before, now),
         )
-        self.fars: list[Far] = []
+        self.remote_ends: list[RemoteEnd] = []
         self.instance.start()
         self.kernel: Any = None
         if boot:
             self.boot()
 
-    def turn(self, turns: int = 1) -> None:
+    def iterate(self, turns: int = 1) -> None:
         for _ in range(turns):
             self.reactor.iterate(0)
 
-    def until(self, what: str, held: Callable[[], Any]) -> Any:
+    def wait_until(self, what: str, held: Callable[[], Any]) -> Any:
         end = time.monotonic() + MOST
         while not (found := held()):
             assert time.monotonic() < end, f"not within {MOST:g} s: {what}"
             self.reactor.iterate(0.005)
         return found
 
-    def accepted(self, listener: socket.socket, kind: type[Far]) -> Any:
+    def accept(self, listener: socket.socket, kind: type[RemoteEnd]) -> Any:
         def taken() -> Any:
             with suppress(BlockingIOError):
                 return listener.accept()[0]
             return None
 
-        far = kind(self.until("a connection of the instance", taken))
-        self.fars.append(far)
+        far = kind(self.wait_until("a connection of the instance", taken))
+        self.remote_ends.append(far)
         return far
 
-    def link(self, listener: socket.socket | None = None) -> Any:
+    def accept_link(self, listener: socket.socket | None = None) -> Any:
         """A link of the instance, accepted and opened; nothing is told on it yet."""
-        far = self.accepted(listener or self.kernels, KernelEnd)
-        self.until("the opening of a link", lambda: far.commands("OPEN"))
+        far = self.accept(listener or self.kernel_listener, KernelEnd)
+        self.wait_until("the opening of a link", lambda: far.commands("OPEN"))
         return far
 
     def boot(self, cold: bool = False, listener: socket.socket | None = None) -> None:
-        before, self.kernel = self.kernel, self.link(listener)
+        before, self.kernel = self.kernel, self.accept_link(listener)
         self.kernel.cursor = before.cursor if before is not None else 0
-        self.kernel.tell(event="BOOTED", fate="cold" if cold else "warm", lasted=60_000)
-        self.until("the fence", lambda: b"fence" in self.kernel.pump().data)
-        self.kernel.tell(event="INFO", ticket="fence", figures=[0, 0, 0, 0])
-        self.until("the link to be ready", lambda: self.instance.kernel.ready)
+        self.kernel.send_event(event="BOOTED", fate="cold" if cold else "warm", lasted=60_000)
+        self.wait_until("the fence", lambda: b"fence" in self.kernel.read_available().data)
+        self.kernel.send_event(event="INFO", ticket="fence", figures=[0, 0, 0, 0])
+        self.wait_until("the link to be ready", lambda: self.instance.kernel.ready)
 
-    def caller(self) -> CallerEnd:
-        host, _, port = self.file["listen"].rpartition(":")
+    def connect(self) -> CallerEnd:
+        host, _, port = self.configuration["listen"].rpartition(":")
         far = CallerEnd(socket.create_connection((host, int(port)), timeout=MOST))
-        self.fars.append(far)
+        self.remote_ends.append(far)
         return far
 
-    def standing(self) -> tuple[CallerEnd, Any]:
+    def connect_accepted(self) -> tuple[CallerEnd, Any]:
         """A caller whose connection was accepted, with our end of it."""
-        known, far = set(self.instance.callers.connections), self.caller()
-        new = self.until("the connection", lambda: set(self.instance.callers.connections) - known)
+        known, far = set(self.instance.callers.connections), self.connect()
+        new = self.wait_until("the connection", lambda: set(self.instance.callers.connections) - known)
         return far, new.pop()
 
-    def served(self, caller: CallerEnd) -> str:
+    def serve_request(self, caller: CallerEnd) -> str:
         """One request through: its connection is at rest then, and is known to serve."""
-        ref = caller.ask()
-        self.runs(ref)
-        self.kernel.done(ref)
-        self.until("the answer", lambda: caller.by_id().get(caller.next_id))
+        ref = caller.send_request()
+        self.wait_for_run(ref)
+        self.kernel.finish_run(ref)
+        self.wait_until("the answer", lambda: caller.answers_by_id().get(caller.next_id))
         return ref
 
-    def runs(self, ref: str) -> None:
-        self.until("the run", lambda: ref in [c["handle"] for c in self.kernel.commands("SCHED")])
+    def wait_for_run(self, ref: str) -> None:
+        self.wait_until("the run", lambda: ref in [c["handle"] for c in self.kernel.commands("SCHED")])
 
     def close(self) -> None:
         for loop in self.instance.loops:
@@ -253,18 +257,18 @@
         for each in self.reactor.removeAll():
             with suppress(Exception):
                 each.connectionLost(None) if hasattr(each, "socket") else each.fileno()
-        for far in self.fars:
+        for far in self.remote_ends:
             far.close()
-        for made in (self.kernels, self.ledgers, self.roster):
+        for made in (self.kernel_listener, self.ledger_listener, self.node_list_socket):
             made.close()
         with suppress(Exception):
             self.reactor._poller.close()
 
 
 @contextmanager
-def stepped(**changes: Any) -> Iterator[Stepped]:
+def stepped(**changes: Any) -> Iterator[SteppedInstance]:
     """One instance, closed at the end; no defect may be in its log."""
-    made = Stepped(**changes)
+    made = SteppedInstance(**changes)
     try:
         yield made
         assert not [line for line in made.log.lines if line["code"] in ("exception", "reactor", "defect")]
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -19,7 +19,7 @@
 import orjson
 import pytest
 from helpers import MOST, SAMPLE, Net, Wire, until
-from loopback import CallerEnd, Far, KernelEnd, address, bound, free_address, stepped
+from loopback import CallerEnd, KernelEnd, RemoteEnd, address, bound_socket, free_address, stepped
 from twisted.internet.error import CannotListenError, ConnectionRefusedError
 from twisted.python.failure import Failure
 
@@ -42,48 +42,48 @@
 @pytest.mark.parametrize("code", ["farewell", "displaced", "silent", "half-message", "drain"])
 def test_a_close_over_unread_bytes_is_no_reset_and_what_crosses_it_is_not_run(code: str) -> None:
     with stepped() as s:
-        caller, ours = s.standing()
-        s.served(caller)
-        crossing = caller.ask()
+        caller, ours = s.connect_accepted()
+        s.serve_request(caller)
+        crossing = caller.send_request()
         ours.close(code)  # the request lies in the socket, unread
-        s.until("the end of the stream", lambda: caller.pump().end)
+        s.wait_until("the end of the stream", lambda: caller.read_available().end)
         assert caller.end == "end", "a reset, which takes answers on their way with it"
-        s.turn(3)
+        s.iterate(3)
         assert crossing not in [c["handle"] for c in s.kernel.commands("SCHED")], "read late, run"
         caller.close()
-        s.until("the end of ours", lambda: ours not in s.instance.callers.connections)
+        s.wait_until("the end of ours", lambda: ours not in s.instance.callers.connections)
         assert s.log.codes("connection-end") == [code]
 
 
 def test_answers_on_their_way_survive_a_close_over_half_a_line() -> None:
     with stepped() as s:
-        caller, ours = s.standing()
-        ref = caller.ask()
-        s.runs(ref)
-        s.kernel.done(ref)
-        s.until("the answer to be written", lambda: not ours.open_txns)
+        caller, ours = s.connect_accepted()
+        ref = caller.send_request()
+        s.wait_for_run(ref)
+        s.kernel.finish_run(ref)
+        s.wait_until("the answer to be written", lambda: not ours.open_txns)
         caller.write(b"Content-Len")
         ours.close("half-message")
-        s.until("the end of the stream", lambda: caller.answers() and caller.end)
-        assert caller.end == "end" and caller.by_id()[1]["result"]["doc"] == "eA=="
+        s.wait_until("the end of the stream", lambda: caller.messages() and caller.end)
+        assert caller.end == "end" and caller.answers_by_id()[1]["result"]["doc"] == "eA=="
 
 
 def test_what_was_read_before_a_spoilt_message_is_answered_then_the_stream_ends_in_order() -> None:
     with stepped() as s:
-        caller, ours = s.standing()
-        ref = caller.ask()
-        s.runs(ref)
+        caller, ours = s.connect_accepted()
+        ref = caller.send_request()
+        s.wait_for_run(ref)
         caller.write(b"GARBAGE WITHOUT END\r\n\r\n" + b"x" * 5_000)
-        s.until("the fault", lambda: ours.stop_code)
+        s.wait_until("the fault", lambda: ours.stop_code)
         caller.write(b"and more" * 1_000)
-        s.kernel.done(ref)
-        s.until("the end of the stream", lambda: caller.answers() and caller.end)
-        assert caller.end == "end" and caller.by_id()[1]["result"]["doc"] == "eA=="
+        s.kernel.finish_run(ref)
+        s.wait_until("the end of the stream", lambda: caller.messages() and caller.end)
+        assert caller.end == "end" and caller.answers_by_id()[1]["result"]["doc"] == "eA=="
 
 
 def test_a_peer_that_sends_on_after_the_end_is_read_up_to_a_bound_and_then_cut() -> None:
     with stepped() as s:
-        caller, ours = s.standing()
+        caller, ours = s.connect_accepted()
         ours.close("silent")
         sent = 0
         # Longer than the test may take, so that nothing else ends it.
@@ -99,7 +99,7 @@
                 return True
             return False
 
-        s.until("the cut", cut)
+        s.wait_until("the cut", cut)
         assert sent > MAX_DISCARDED_BYTES and ours not in s.instance.callers.connections
 
 
@@ -129,45 +129,45 @@
 def test_a_resting_connection_that_gives_way_hears_a_farewell_and_what_crosses_it_is_served() -> None:
     with stepped(limits={"sockets": 64}) as s:
         callers = s.instance.callers
-        resting, ours = s.standing()
-        s.served(resting)
+        resting, ours = s.connect_accepted()
+        s.serve_request(resting)
         others = []
         while (
             len(callers.connections) < callers.max_connections - callers.max_connections // DISPLACED_DIVISOR
         ):
-            other, _ = s.standing()
-            s.served(other)
+            other, _ = s.connect_accepted()
+            s.serve_request(other)
             others.append(other)
-        s.until(
+        s.wait_until(
             "the first to have rested a while",
             lambda: s.reactor.seconds() - max(c.last_active_at for c in callers.connections) > 0.06,
         )
-        crossing = resting.ask()  # unread when the newcomer comes
+        crossing = resting.send_request()  # unread when the newcomer comes
         known = set(callers.connections)
-        newcomer = s.caller()
+        newcomer = s.connect()
         # The newcomer is taken first, so that the farewell and the request cross.
         s.instance.listening_port.doRead()
         assert set(callers.connections) - known and ours in callers.being_displaced
-        s.runs(crossing)
-        s.kernel.done(crossing)
-        s.until("the answer", lambda: resting.by_id().get(2))
-        assert resting.said_farewell() and resting.by_id()[2]["result"]["doc"] == "eA=="
-        s.served(newcomer)
+        s.wait_for_run(crossing)
+        s.kernel.finish_run(crossing)
+        s.wait_until("the answer", lambda: resting.answers_by_id().get(2))
+        assert resting.received_farewell() and resting.answers_by_id()[2]["result"]["doc"] == "eA=="
+        s.serve_request(newcomer)
         resting.close()
-        s.until("its end", lambda: ours not in callers.connections)
+        s.wait_until("its end", lambda: ours not in callers.connections)
         assert s.log.codes("connection-end") == ["displaced"] and not callers.being_displaced
 
 
 def test_an_answer_to_a_connection_that_another_replaced_goes_nowhere_and_breaks_nothing() -> None:
     with stepped() as s:
-        caller, _ = s.standing()
-        ref = caller.ask()
-        s.runs(ref)
-        again, _ = s.standing()
+        caller, _ = s.connect_accepted()
+        ref = caller.send_request()
+        s.wait_for_run(ref)
+        again, _ = s.connect_accepted()
         caller.reset()
-        s.kernel.done(ref)
-        s.until("the run to be over", lambda: not s.instance.jobs)
-        s.served(again)
+        s.kernel.finish_run(ref)
+        s.wait_until("the run to be over", lambda: not s.instance.jobs)
+        s.serve_request(again)
         assert s.log.codes("connection-end") == ["peer-reset"] and not s.instance.facade.owed()
 
 
@@ -187,22 +187,22 @@
 def test_a_paused_reader_gets_its_answers_before_the_end() -> None:
     """Its answers wait with us as it does not read; the end of the process is no reason to lose them."""
     with stepped() as s:
-        caller, ours = s.standing()
+        caller, ours = s.connect_accepted()
         ours.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 16_384)
         doc = "A" * 4_000
         asked = 0
         while not ours.backlog:
-            ref = caller.ask()
+            ref = caller.send_request()
             asked += 1
-            s.runs(ref)
-            s.kernel.done(ref, doc)
-            s.until("the answer to be given", lambda: not ours.open_txns)
+            s.wait_for_run(ref)
+            s.kernel.finish_run(ref, doc)
+            s.wait_until("the answer to be given", lambda: not ours.open_txns)
         assert asked < 200
         s.instance.start_drain()
-        s.turn(2)
+        s.iterate(2)
         s.instance.close_streams()
-        s.until("all answers and the end", lambda: (caller.answers(), caller.end)[1])
-        assert caller.end == "end" and len(caller.by_id()) == asked
+        s.wait_until("all answers and the end", lambda: (caller.messages(), caller.end)[1])
+        assert caller.end == "end" and len(caller.answers_by_id()) == asked
 
 
 # ---- shutdown
@@ -213,29 +213,29 @@
     with stepped() as s:
         port = s.instance.listening_port
         port.numberAccepts = 1  # as after a quiet turn
-        waiting = [s.caller() for _ in range(30)]
-        refs = [caller.ask() for caller in waiting]
+        waiting = [s.connect() for _ in range(30)]
+        refs = [caller.send_request() for caller in waiting]
         s.instance.draining, s.instance.stopped_accepting = True, True
         close_listener(port)
         assert len(s.instance.callers.connections) == 30, "left in the backlog, to be reset"
         with pytest.raises(OSError, match="refused"):
-            s.caller()
-        s.until("the requests that they wrote", lambda: len(s.instance.jobs) == len(refs))
+            s.connect()
+        s.wait_until("the requests that they wrote", lambda: len(s.instance.jobs) == len(refs))
         for caller in waiting:
-            assert caller.said_farewell() and not caller.end
+            assert caller.received_farewell() and not caller.end
 
 
 def test_a_backlog_larger_than_the_table_is_emptied_whole() -> None:
     with stepped(limits={"sockets": 64}) as s:
-        waiting = [s.caller() for _ in range(60)]
+        waiting = [s.connect() for _ in range(60)]
         for caller in waiting:
-            caller.check()
+            caller.send_heartbeat()
         close_listener(s.instance.listening_port)
-        s.until(
+        s.wait_until(
             "all to hear or to be turned away",
-            lambda: all(caller.answers() or caller.end for caller in waiting),
+            lambda: all(caller.messages() or caller.end for caller in waiting),
         )
-        assert sum(bool(caller.heard) for caller in waiting) >= s.instance.callers.max_connections // 2
+        assert sum(bool(caller.received) for caller in waiting) >= s.instance.callers.max_connections // 2
         assert len(s.instance.callers.connections) <= s.instance.callers.max_connections
 
 
@@ -243,15 +243,17 @@
 def test_a_request_read_after_the_notice_runs_within_the_grace_and_is_declined_after_it(grace: int) -> None:
     settings = SAMPLE["settings"] | {"guarantees": SAMPLE["settings"]["guarantees"] | {"drainGrace": grace}}
     with stepped(settings=settings, stop_ms=20_000) as s:
-        caller, _ = s.standing()
-        s.served(caller)
+        caller, _ = s.connect_accepted()
+        s.serve_request(caller)
         s.instance.start_drain()
         now = time.time() * 1000
-        ref = caller.ask(s=int(now + 1_000 * (grace == 0)))  # grace 0: it landed a moment after the notice
+        ref = caller.send_request(
+            s=int(now + 1_000 * (grace == 0))
+        )  # grace 0: it landed a moment after the notice
         if grace:
-            s.runs(ref)
-            s.kernel.done(ref)
-        answer = s.until("the answer", lambda: caller.by_id().get(2))
+            s.wait_for_run(ref)
+            s.kernel.finish_run(ref)
+        answer = s.wait_until("the answer", lambda: caller.answers_by_id().get(2))
         assert ("result" in answer) == (grace > 0)
         if not grace:
             assert answer["error"]["code"] == -32008 and s.kernel.commands("SCHED")[-1]["handle"] != ref
@@ -259,49 +261,49 @@
 
 def test_a_request_that_crosses_the_farewell_of_the_drain_is_answered() -> None:
     with stepped(stop_ms=20_000) as s:
-        caller, _ = s.standing()
-        s.served(caller)
+        caller, _ = s.connect_accepted()
+        s.serve_request(caller)
         s.instance.start_drain()
-        caller.ask()  # unread while the door is shut
+        caller.send_request()  # unread while the door is shut
         s.instance.stop_accepting()
-        answer = s.until(
+        answer = s.wait_until(
             "its answer",
-            lambda: caller.by_id().get(2)
-            or ([s.kernel.done(c["handle"]) for c in s.kernel.commands("SCHED")[1:]] and None),
+            lambda: caller.answers_by_id().get(2)
+            or ([s.kernel.finish_run(c["handle"]) for c in s.kernel.commands("SCHED")[1:]] and None),
         )
-        assert caller.said_farewell() and ("result" in answer or answer["error"]["code"] == -32008)
+        assert caller.received_farewell() and ("result" in answer or answer["error"]["code"] == -32008)
 
 
 def test_what_the_last_turn_read_is_answered_before_the_streams_end() -> None:
     with stepped(stop_ms=1_000) as s:
-        caller, _ = s.standing()
-        s.served(caller)
+        caller, _ = s.connect_accepted()
+        s.serve_request(caller)
         s.instance.start_drain()
-        s.until(
+        s.wait_until(
             "the time in which nothing more is begun", lambda: s.reactor.seconds() > s.instance.kill_at - 0.2
         )
-        caller.ask()
-        s.until("it to be read", lambda: s.instance.jobs or caller.by_id().get(2))
+        caller.send_request()
+        s.wait_until("it to be read", lambda: s.instance.jobs or caller.answers_by_id().get(2))
         s.instance.close_streams()  # in the very turn: the brain was not asked yet
-        s.until("the end of the stream", lambda: caller.answers() and caller.end)
-        assert caller.end == "end" and caller.by_id()[2]["error"]["code"] == -32008
+        s.wait_until("the end of the stream", lambda: caller.messages() and caller.end)
+        assert caller.end == "end" and caller.answers_by_id()[2]["error"]["code"] == -32008
         assert not s.instance.facade.owed()
 
 
 def test_a_run_that_ends_in_the_turn_of_the_last_look_changes_no_answer() -> None:
     with stepped(stop_ms=600) as s:
-        caller, _ = s.standing()
-        ref = caller.ask()
-        s.runs(ref)
+        caller, _ = s.connect_accepted()
+        ref = caller.send_request()
+        s.wait_for_run(ref)
         s.instance.start_drain()
-        s.until(
+        s.wait_until(
             "the time of the last look",
             lambda: s.reactor.seconds() > s.instance.kill_at - CLOSE_STREAMS_BEFORE_KILL_S + 0.01,
         )
-        s.kernel.done(ref)
-        s.until("the end", lambda: caller.pump().end)
-        assert caller.end == "end" and len(caller.by_id()) == 1
-        s.until("the process's own end", lambda: s.ended)
+        s.kernel.finish_run(ref)
+        s.wait_until("the end", lambda: caller.read_available().end)
+        assert caller.end == "end" and len(caller.answers_by_id()) == 1
+        s.wait_until("the process's own end", lambda: s.stopped)
 
 
 def test_the_connections_end_before_the_process_does() -> None:
@@ -320,15 +322,15 @@
 
 def test_a_notice_with_hardly_any_time_shuts_the_door_once() -> None:
     with stepped(stop_ms=100) as s:
-        caller, _ = s.standing()
-        s.served(caller)
-        caller.ask()
+        caller, _ = s.connect_accepted()
+        s.serve_request(caller)
+        caller.send_request()
         s.instance.start_drain()
         while s.reactor.seconds() < s.instance.kill_at - 0.04:  # a pause: all is due at once
             pass
-        s.until("the end of the stream", lambda: caller.answers() and caller.end)
-        assert caller.end == "end" and caller.by_id()[2]["error"]["code"] == -32008
-        s.until("the process's own end", lambda: s.ended)
+        s.wait_until("the end of the stream", lambda: caller.messages() and caller.end)
+        assert caller.end == "end" and caller.answers_by_id()[2]["error"]["code"] == -32008
+        s.wait_until("the process's own end", lambda: s.stopped)
         assert not [line for line in s.log.lines if line["event"] == "service-fault"]
 
 
@@ -383,20 +385,20 @@
     """A reply is never sent again, so one that is lost with the old link costs its request."""
     with stepped() as s:
         kernel, old = s.instance.kernel, s.kernel
-        caller, _ = s.standing()
-        ref = caller.ask("book", k="a")
-        s.runs(ref)
-        old.note(event="IOREQ", handle=ref, arg="Y2FsbA==")
-        call = s.accepted(s.ledgers, Far)
-        s.until("the call", lambda: b"\r\n\r\n" in call.pump().data)
+        caller, _ = s.connect_accepted()
+        ref = caller.send_request("book", k="a")
+        s.wait_for_run(ref)
+        old.send_notice(event="IOREQ", handle=ref, arg="Y2FsbA==")
+        call = s.accept(s.ledger_listener, RemoteEnd)
+        s.wait_until("the call", lambda: b"\r\n\r\n" in call.read_available().data)
         call.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nreply")
-        s.until(
+        s.wait_until(
             "the reply to be commanded", lambda: ref in kernel.uncarried and kernel.uncarried[ref].replies_to
         )
-        old.note(event="DMESG", fate="on its way")  # unread as the new link stands
+        old.send_notice(event="DMESG", fate="on its way")  # unread as the new link stands
         kernel.dial = Dial(kernel)
         kernel.dial.buildProtocol(None).makeConnection(Wire())
-        s.until("the end of the old stream", lambda: old.pump().end)
+        s.wait_until("the end of the old stream", lambda: old.read_available().end)
         assert old.end == "end" and [c["handle"] for c in old.commands("IODONE")] == [ref]
 
 
@@ -532,16 +534,16 @@
 
 def test_two_notices_of_new_configuration_at_once_and_one_in_the_middle_of_a_drain() -> None:
     with stepped(stop_ms=20_000) as s:
-        place = bound()
+        place = bound_socket()
         place.listen(8)
         place.setblocking(False)
-        s.file = s.file | {"kernel": address(place)}
+        s.configuration = s.configuration | {"kernel": address(place)}
         s.instance.start_drain()
         s.instance.reload()
         s.instance.reload()  # the address is the same now: the dial that is under way is the one
         s.boot(listener=place)
         assert s.log.codes("reload") == ["taken", "taken"] and s.instance.draining
-        s.until("the end of the old link", lambda: s.fars[0].pump().end)
+        s.wait_until("the end of the old link", lambda: s.remote_ends[0].read_available().end)
         with suppress(BlockingIOError):
             place.accept()
             raise AssertionError("a second link")
@@ -586,101 +588,105 @@
 def test_a_notice_to_leave_beside_an_unread_request_loses_nothing(times: int, tmp_path: Path) -> None:
     """The real process stands still while both arrive."""
     with process(tmp_path) as p:
-        caller = p.caller()
-        caller.check()
-        p.until("an answer", lambda: caller.by_id().get(1))
-        p.child.send_signal(signal.SIGSTOP)
-        ref = caller.ask()
-        late = p.caller()  # in the backlog
-        late.ask()
+        caller = p.connect()
+        caller.send_heartbeat()
+        p.wait_until("an answer", lambda: caller.answers_by_id().get(1))
+        p.process.send_signal(signal.SIGSTOP)
+        ref = caller.send_request()
+        late = p.connect()  # in the backlog
+        late.send_request()
         for notice in (signal.SIGTERM, signal.SIGINT)[:times]:
-            p.child.send_signal(notice)
-        p.child.send_signal(signal.SIGCONT)
+            p.process.send_signal(notice)
+        p.process.send_signal(signal.SIGCONT)
         done: set[str] = set()
 
         def answered() -> bool:
             for command in p.kernel.commands("SCHED"):
                 if command["handle"] not in done:
                     done.add(command["handle"])
-                    p.kernel.done(command["handle"])
-            return bool(caller.by_id().get(2) and late.by_id().get(1))
+                    p.kernel.finish_run(command["handle"])
+            return bool(caller.answers_by_id().get(2) and late.answers_by_id().get(1))
 
-        p.until("both answers", answered)
-        assert ref in done and "result" in caller.by_id()[2]
+        p.wait_until("both answers", answered)
+        assert ref in done and "result" in caller.answers_by_id()[2]
         for each in (caller, late):
             each.close()
-        assert p.child.wait(MOST) == 0
-        assert (b'"code":"again"' in p.told()) == (times == 2)
+        assert p.process.wait(MOST) == 0
+        assert (b'"code":"again"' in p.log_bytes()) == (times == 2)
 
 
-class Process:
+class RealProcess:
     """A real process of the program; the far ends are the test's own sockets."""
 
     def __init__(self, folder: Path, **changes: Any) -> None:
-        self.kernels, self.ledgers, self.roster = bound(), bound(), bound(socket.SOCK_DGRAM)
-        for made in (self.kernels, self.ledgers):
+        self.kernel_listener, self.ledger_listener, self.node_list_socket = (
+            bound_socket(),
+            bound_socket(),
+            bound_socket(socket.SOCK_DGRAM),
+        )
+        for made in (self.kernel_listener, self.ledger_listener):
             made.listen(64)
             made.settimeout(MOST)
-        self.config = (
+        self.configuration = (
             SAMPLE
             | {
                 "listen": free_address(),
-                "kernel": address(self.kernels),
-                "records": address(self.ledgers),
-                "roster": address(self.roster),
+                "kernel": address(self.kernel_listener),
+                "records": address(self.ledger_listener),
+                "roster": address(self.node_list_socket),
                 "stop_ms": 8_000,
             }
             | changes
         )
-        (folder / "config.json").write_bytes(orjson.dumps(self.config))
+        (folder / "config.json").write_bytes(orjson.dumps(self.configuration))
         self.log = folder / "log"
         with self.log.open("wb") as log:
             env = os.environ | {"BALANCER_CONFIG": str(folder / "config.json")}
-            self.child = subprocess.Popen(
+            self.process = subprocess.Popen(
                 [sys.executable, "-m", "limeridge"], stdout=log, stderr=log, cwd=ROOT, env=env
             )
         self.kernel: Any = None
 
-    def told(self) -> bytes:
+    def log_bytes(self) -> bytes:
         return self.log.read_bytes()
 
-    def until(self, what: str, held: Any) -> Any:
+    def wait_until(self, what: str, held: Any) -> Any:
         end = time.monotonic() + MOST
         while not (found := held()):
-            in_time = time.monotonic() < end and self.child.poll() is None
-            assert in_time, f"not within {MOST:g} s: {what}; its log ends with {self.told()[-2_000:]!r}"
+            in_time = time.monotonic() < end and self.process.poll() is None
+            assert in_time, f"not within {MOST:g} s: {what}; its log ends with {self.log_bytes()[-2_000:]!r}"
             time.sleep(0.005)
         return found
 
     def boot(self) -> None:
-        self.kernel = KernelEnd(self.kernels.accept()[0])
-        self.until("the opening", lambda: self.kernel.commands("OPEN"))
-        self.kernel.tell(event="BOOTED", fate="warm", lasted=60_000)
-        self.until("the fence", lambda: b"fence" in self.kernel.pump().data)
-        self.kernel.tell(event="INFO", ticket="fence", figures=[0, 0, 0, 0])
-
-    def caller(self) -> CallerEnd:
-        host, _, port = str(self.config["listen"]).rpartition(":")
+        self.kernel = KernelEnd(self.kernel_listener.accept()[0])
+        self.wait_until("the opening", lambda: self.kernel.commands("OPEN"))
+        self.kernel.send_event(event="BOOTED", fate="warm", lasted=60_000)
+        self.wait_until("the fence", lambda: b"fence" in self.kernel.read_available().data)
+        self.kernel.send_event(event="INFO", ticket="fence", figures=[0, 0, 0, 0])
+
+    def connect(self) -> CallerEnd:
+        host, _, port = str(self.configuration["listen"]).rpartition(":")
         return CallerEnd(socket.create_connection((host, int(port)), timeout=MOST))
 
 
 @contextmanager
-def process(folder: Path, **changes: Any) -> Iterator[Process]:
-    made = Process(folder, **changes)
+def process(folder: Path, **changes: Any) -> Iterator[RealProcess]:
+    made = RealProcess(folder, **changes)
     try:
         made.boot()
-        made.until("it to listen", lambda: connects(made))
+        made.wait_until("it to listen", lambda: connects(made))
         yield made
         for fault in (b'"exception"', b'"reactor"', b'"defect"'):
-            assert fault not in made.told()
+            assert fault not in made.log_bytes()
     finally:
-        if made.child.poll() is None:
-            made.child.kill()
-            made.child.wait()
+        if made.process.poll() is None:
+            made.process.kill()
+            made.process.wait()
 
 
-def connects(of: Process) -> bool:
-    host, _, port = str(of.config["listen"]).rpartition(":")
+def connects(of: RealProcess) -> bool:
+    host, _, port = str(of.configuration["listen"]).rpartition(":")
     with socket.socket() as probe:
         return probe.connect_ex((host, int(port))) == 0
 
@@ -688,27 +694,27 @@
 # ---- descriptors
 
 
-def descriptors(p: Process) -> int:
-    return len(list(Path(f"/proc/{p.child.pid}/fd").iterdir()))
+def descriptors(p: RealProcess) -> int:
+    return len(list(Path(f"/proc/{p.process.pid}/fd").iterdir()))
 
 
-def processor_seconds(p: Process) -> float:
-    fields = Path(f"/proc/{p.child.pid}/stat").read_text().rpartition(")")[2].split()
+def processor_seconds(p: RealProcess) -> float:
+    fields = Path(f"/proc/{p.process.pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def newcomer(p: Process) -> CallerEnd:
+def newcomer(p: RealProcess) -> CallerEnd:
     """As a usual caller comes: one that is turned away at the door comes again."""
     found: list[CallerEnd] = []
 
     def heard() -> bool:
-        if not found or found[-1].pump().end:
+        if not found or found[-1].read_available().end:
             with suppress(OSError):
-                found.append(p.caller())
-                found[-1].check()
-        return bool(found and found[-1].by_id())
+                found.append(p.connect())
+                found[-1].send_heartbeat()
+        return bool(found and found[-1].answers_by_id())
 
-    p.until("a place for a usual caller", heard)
+    p.wait_until("a place for a usual caller", heard)
     assert len(found) < 20, "turned away again and again"
     return found[-1]
 
@@ -718,41 +724,43 @@
 def test_idle_clients_may_fill_the_descriptors_while_the_list_is_down(says: str, tmp_path: Path) -> None:
     """Requests of usual callers, the kernel's link and its relink, calls and reports still find theirs."""
     with process(tmp_path, limits={"sockets": 96}) as p:
-        usual = p.caller()
+        usual = p.connect()
 
         def served(caller: CallerEnd) -> None:
-            ref, done = caller.ask("book", k=f"key {caller.next_id}"), False
+            ref, done = caller.send_request("book", k=f"key {caller.next_id}"), False
 
             def answered() -> bool:
                 nonlocal done
                 if not done and ref in [c["handle"] for c in p.kernel.commands("SCHED")]:
                     done = True
-                    p.kernel.note(event="IOREQ", handle=ref, arg="Y2FsbA==")
-                    call = Far(p.ledgers.accept()[0])
-                    p.until("the call", lambda: call.pump().data.endswith(b"call"))
+                    p.kernel.send_notice(event="IOREQ", handle=ref, arg="Y2FsbA==")
+                    call = RemoteEnd(p.ledger_listener.accept()[0])
+                    p.wait_until("the call", lambda: call.read_available().data.endswith(b"call"))
                     call.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nreply")
-                    p.until("the reply", lambda: ref in [c["handle"] for c in p.kernel.commands("IODONE")])
-                    p.kernel.done(ref)
-                return caller.next_id in caller.by_id()
+                    p.wait_until(
+                        "the reply", lambda: ref in [c["handle"] for c in p.kernel.commands("IODONE")]
+                    )
+                    p.kernel.finish_run(ref)
+                return caller.next_id in caller.answers_by_id()
 
-            p.until("an answer", answered)
-            assert "result" in caller.by_id()[caller.next_id]
+            p.wait_until("an answer", answered)
+            assert "result" in caller.answers_by_id()[caller.next_id]
 
         served(usual)
         before = descriptors(p)
         idle = []
         for number in range(250):
             with suppress(OSError):
-                client = p.caller()
+                client = p.connect()
                 idle.append(client)
                 with suppress(OSError):  # it was turned away
                     if says == "checks":
-                        client.check()
+                        client.send_heartbeat()
                     elif says == "half a message":
                         client.write(b"Content-Le")
             if number % 25 == 0:
                 assert descriptors(p) <= 96
-        if not usual.pump().end and not usual.said_farewell():
+        if not usual.read_available().end and not usual.received_farewell():
             served(usual)
         served(newcomer(p))
         p.kernel.reset()  # the link breaks while the table is full
@@ -760,16 +768,16 @@
         p.boot()
         p.kernel.cursor = cursor
         served(newcomer(p))
-        p.roster.settimeout(MOST)
+        p.node_list_socket.settimeout(MOST)
         begun = processor_seconds(p)
         for _ in range(5):  # a report each 0.3 s, also with nobody there to list it
-            assert p.roster.recv(100).split() == [b"HERE", b"n1", b"on"]
+            assert p.node_list_socket.recv(100).split() == [b"HERE", b"n1", b"on"]
         assert processor_seconds(p) - begun < 1.0, "it spins"
-        assert p.told().count(b"\n") < 400, "a flood of lines"
+        assert p.log_bytes().count(b"\n") < 400, "a flood of lines"
         for client in idle:
             client.close()
-        p.until("the idle to be forgotten", lambda: descriptors(p) <= before + 8)
-        served(p.caller())
+        p.wait_until("the idle to be forgotten", lambda: descriptors(p) <= before + 8)
+        served(p.connect())
 
 
 def test_what_the_machine_grants_is_shared_out_and_not_what_the_file_says(tmp_path: Path) -> None:
@@ -808,14 +816,16 @@
 
 def test_a_repeat_read_in_the_turn_in_which_the_run_ends_shares_its_result() -> None:
     with stepped() as s:
-        caller, _ = s.standing()
-        again, _ = s.standing()
-        ref = caller.ask("book", k="acct")
-        s.runs(ref)
-        s.kernel.done(ref, "b25l")
-        again.ask("book", k="acct", r=1)  # both lie unread
-        s.until("both answers", lambda: caller.by_id().get(1) and again.by_id().get(1))
-        assert {caller.by_id()[1]["result"]["doc"], again.by_id()[1]["result"]["doc"]} == {"b25l"}
+        caller, _ = s.connect_accepted()
+        again, _ = s.connect_accepted()
+        ref = caller.send_request("book", k="acct")
+        s.wait_for_run(ref)
+        s.kernel.finish_run(ref, "b25l")
+        again.send_request("book", k="acct", r=1)  # both lie unread
+        s.wait_until("both answers", lambda: caller.answers_by_id().get(1) and again.answers_by_id().get(1))
+        assert {caller.answers_by_id()[1]["result"]["doc"], again.answers_by_id()[1]["result"]["doc"]} == {
+            "b25l"
+        }
         assert len(s.kernel.commands("SCHED")) == 1
 
 
@@ -859,16 +869,16 @@
 
 def test_a_repeat_after_its_first_try_was_taken_back_joins_the_run_that_goes_on() -> None:
     with stepped() as s:
-        caller, ours = s.standing()
-        ref = caller.ask("book", k="acct")
-        s.runs(ref)
+        caller, ours = s.connect_accepted()
+        ref = caller.send_request("book", k="acct")
+        s.wait_for_run(ref)
         caller.write(caller_revokes(1))
-        s.until("the revoke", lambda: not ours.open_txns)
-        caller.ask("book", k="acct", r=1)
-        s.until("the repeat", lambda: len(s.instance.jobs) == 2)
-        s.kernel.done(ref, "b25l")
-        s.until("its answer", lambda: caller.by_id().get(2))
-        assert caller.by_id()[2]["result"]["doc"] == "b25l" and len(s.kernel.commands("SCHED")) == 1
+        s.wait_until("the revoke", lambda: not ours.open_txns)
+        caller.send_request("book", k="acct", r=1)
+        s.wait_until("the repeat", lambda: len(s.instance.jobs) == 2)
+        s.kernel.finish_run(ref, "b25l")
+        s.wait_until("its answer", lambda: caller.answers_by_id().get(2))
+        assert caller.answers_by_id()[2]["result"]["doc"] == "b25l" and len(s.kernel.commands("SCHED")) == 1
 
 
 def caller_revokes(number: int) -> bytes:
@@ -895,15 +905,15 @@
 
 def test_an_id_that_is_open_on_another_connection_runs_once_and_costs_the_first_nothing() -> None:
     with stepped() as s:
-        caller, _ = s.standing()
-        other, _ = s.standing()
-        ref = caller.ask()
-        s.runs(ref)
-        other.ask(i=ref, doc="b3RoZXI=")
-        s.until("the error", lambda: other.by_id().get(1))
-        s.kernel.done(ref)
-        s.until("the answer", lambda: caller.by_id().get(1))
-        assert other.by_id()[1]["error"]["code"] == -32000 and "result" in caller.by_id()[1]
+        caller, _ = s.connect_accepted()
+        other, _ = s.connect_accepted()
+        ref = caller.send_request()
+        s.wait_for_run(ref)
+        other.send_request(i=ref, doc="b3RoZXI=")
+        s.wait_until("the error", lambda: other.answers_by_id().get(1))
+        s.kernel.finish_run(ref)
+        s.wait_until("the answer", lambda: caller.answers_by_id().get(1))
+        assert other.answers_by_id()[1]["error"]["code"] == -32000 and "result" in caller.answers_by_id()[1]
         assert len(s.kernel.commands("SCHED")) == 1
 
 
@@ -919,11 +929,11 @@
         told: list[End] = []
         call = s.instance.ledger.call("0" * 16, 5_000_000, b"body")
         call.done.addCallback(lambda called: told.append(called.end))
-        line = s.accepted(s.ledgers, Far)
-        s.until("the call", lambda: line.pump().data.endswith(b"body"))
+        line = s.accept(s.ledger_listener, RemoteEnd)
+        s.wait_until("the call", lambda: line.read_available().data.endswith(b"body"))
         line.write(piece)
         line.close() if how == "end" else line.reset()
-        s.until("its end", lambda: told)
+        s.wait_until("its end", lambda: told)
         assert told == [End.BROKEN] and s.instance.ledger.connections == 0
 
 
@@ -932,14 +942,14 @@
         told: list[End] = []
         call = s.instance.ledger.call("0" * 16, 50_000, b"body")
         call.done.addCallback(lambda called: told.append(called.end))
-        line = s.accepted(s.ledgers, Far)
-        s.until("the call", lambda: line.pump().data.endswith(b"body"))
+        line = s.accept(s.ledger_listener, RemoteEnd)
+        s.wait_until("the call", lambda: line.read_available().data.endswith(b"body"))
         line.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nreply")
         end = s.reactor.seconds() + 0.06
         while s.reactor.seconds() < end:  # no turn of the loop: reply and time-out are both due then
             pass
-        s.until("its end", lambda: told)
-        s.turn(5)
+        s.wait_until("its end", lambda: told)
+        s.iterate(5)
         assert told in ([End.TIMED_OUT], [End.OK]) and s.instance.ledger.connections == 0
 
 
@@ -948,14 +958,14 @@
 
 def test_more_messages_than_a_turn_takes_with_the_end_behind_them_are_all_taken() -> None:
     with stepped() as s:
-        caller, ours = s.standing()
+        caller, ours = s.connect_accepted()
         for _ in range(100):
-            caller.check()
-        s.until("all answers", lambda: len(caller.by_id()) == 100)
-        refs = [caller.ask() for _ in range(20)]  # over a turn's share; the end comes with them
+            caller.send_heartbeat()
+        s.wait_until("all answers", lambda: len(caller.answers_by_id()) == 100)
+        refs = [caller.send_request() for _ in range(20)]  # over a turn's share; the end comes with them
         caller.socket.shutdown(socket.SHUT_WR)
-        s.until("its end", lambda: ours not in s.instance.callers.connections)
-        s.until("the runs to be known as nobody's", lambda: not s.instance.facade.owed())
+        s.wait_until("its end", lambda: ours not in s.instance.callers.connections)
+        s.wait_until("the runs to be known as nobody's", lambda: not s.instance.facade.owed())
         assert len(refs) == 20 and not ours.open_txns
 
 
@@ -983,12 +993,12 @@
 
 def test_the_process_ends_as_soon_as_all_streams_have_ended() -> None:
     with stepped(stop_ms=1_000) as s:
-        caller, _ = s.standing()
-        s.served(caller)
+        caller, _ = s.connect_accepted()
+        s.serve_request(caller)
         s.instance.start_drain()
-        s.until("the end of the stream", lambda: caller.pump().end)
+        s.wait_until("the end of the stream", lambda: caller.read_available().end)
         caller.close()
-        s.until("the process's own end", lambda: s.ended)
+        s.wait_until("the process's own end", lambda: s.stopped)
         assert s.reactor.seconds() < s.instance.kill_at - EXIT_BEFORE_KILL_S
         assert s.log.codes("drain")[-1] == "done"
 
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -22,7 +22,7 @@
 from helpers import MOST, PLAIN, SAMPLE, until
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
-from loopback import CallerEnd, Far, KernelEnd, address, bound, free_address
+from loopback import CallerEnd, KernelEnd, RemoteEnd, address, bound_socket, free_address
 
 from limeridge.brain import HEEDED, Brain
 from limeridge.interface import Decision, Outcome, Stage, Txn, Verb
@@ -269,7 +269,7 @@
 
     def __init__(self, folder: Path, number: int, share: float, count: int, ledger: str, roster: str) -> None:
         self.number, self.folder = number, folder
-        self.kernels = bound()
+        self.kernels = bound_socket()
         self.kernels.listen(4)
         self.kernels.settimeout(MOST)
         info = SAMPLE["settings"]["familyInfo"] | {
@@ -344,8 +344,8 @@
                 return False
             self.opened = False
         if not self.opened and self.kernel.commands("OPEN"):
-            self.kernel.tell(event="BOOTED", fate="cold", lasted=0)
-            self.kernel.tell(event="INFO", ticket="fence", figures=[0, 0, 0, 0])
+            self.kernel.send_event(event="BOOTED", fate="cold", lasted=0)
+            self.kernel.send_event(event="INFO", ticket="fence", figures=[0, 0, 0, 0])
             self.opened = True
         if self.caller is None:
             host, _, port = str(self.config["listen"]).rpartition(":")
@@ -354,7 +354,7 @@
             except OSError:
                 return False
             self.caller.check()
-        answers = self.caller.by_id()
+        answers = self.caller.answers_by_id()
         if self.caller.next_id in answers:
             if answers[self.caller.next_id]["result"]["ready"]:
                 self.ready_at = time.monotonic()
@@ -365,24 +365,24 @@
     def work(self) -> None:
         """Six requests open at a time; each run waits for a call, and ends when it may go on."""
         kernel, caller = self.kernel, self.caller
-        caller.answers()
-        answered = sum(1 for each in caller.heard if each.get("id", 0) > 0)
+        caller.messages()
+        answered = sum(1 for each in caller.received if each.get("id", 0) > 0)
         while caller.next_id - answered < 6:
-            caller.ask(d=1_500)
-        kernel.pump()
+            caller.send_request(d=1_500)
+        kernel.read_available()
         whole, _, kernel.data = kernel.data.rpartition(b"\n")
         for command in map(orjson.loads, whole.splitlines()):
             if command["event"] == "SCHED":
-                kernel.note(event="IOREQ", handle=command["handle"], arg="Y2FsbA==")
+                kernel.send_notice(event="IOREQ", handle=command["handle"], arg="Y2FsbA==")
             elif command["event"] in ("IODONE", "NOIO"):
-                kernel.done(command["handle"])
+                kernel.finish_run(command["handle"])
 
 
 class CountingLedger:
     """Takes calls in a thread of its own, each for `work` seconds, and writes down what was in its hands."""
 
     def __init__(self, work: float) -> None:
-        self.listener, self.work = bound(), work
+        self.listener, self.work = bound_socket(), work
         self.listener.listen(512)
         self.listener.setblocking(False)
         self.spans: list[tuple[float, float]] = []
@@ -396,12 +396,12 @@
             now = time.monotonic()
             while True:
                 try:
-                    far = Far(self.listener.accept()[0])
+                    far = RemoteEnd(self.listener.accept()[0])
                 except BlockingIOError:
                     break
                 lines[far] = [0.0, 0.0]
             for far, line in list(lines.items()):
-                far.pump()
+                far.read_available()
                 if not line[0] and b"\r\n\r\ncall" in far.data:
                     line[0], line[1] = now, now + self.work * (0.5 + chance.random())
                 done = line[0] and now >= line[1]
@@ -426,7 +426,7 @@
     its address comes free, to its first good health check."""
     share, work = 0.9, 0.06
     budget = share * count
-    ledger, nobody = CountingLedger(work), bound(socket.SOCK_DGRAM)
+    ledger, nobody = CountingLedger(work), bound_socket(socket.SOCK_DGRAM)
     roster = address(nobody)
     nobody.close()
     machines = [Machine(tmp_path, n, share, count, address(ledger.listener), roster) for n in range(count)]
--- a/tests/test_unread.py
+++ b/tests/test_unread.py
@@ -20,7 +20,7 @@
 
 import pytest
 from helpers import MOST
-from loopback import CallerEnd, Stepped, stepped
+from loopback import CallerEnd, SteppedInstance, stepped
 
 from limeridge.net.callers import (
     AWAITING_REQUEST_DIVISOR,
@@ -44,12 +44,12 @@
         return self.clock.callLater(*call)
 
 
-def accept(s: Stepped) -> None:
+def accept(s: SteppedInstance) -> None:
     """What stands in the backlog is taken, and nothing else is read."""
     s.instance.listening_port.doRead()
 
 
-def all_answered(s: Stepped, asked: dict[str, CallerEnd]) -> None:
+def all_answered(s: SteppedInstance, asked: dict[str, CallerEnd]) -> None:
     """Each request runs and gets its result, on the connection on which it came."""
     done: set[str] = set()
 
@@ -57,15 +57,15 @@
         for command in s.kernel.commands("SCHED"):
             if command["handle"] not in done:
                 done.add(command["handle"])
-                s.kernel.done(command["handle"])
+                s.kernel.finish_run(command["handle"])
         for far in asked.values():
-            assert far.pump().end != "reset", "a request was lost"
-        return all(far.by_id().get(far.next_id) for far in asked.values())
+            assert far.read_available().end != "reset", "a request was lost"
+        return all(far.answers_by_id().get(far.next_id) for far in asked.values())
 
-    s.until("all answers", answered)
+    s.wait_until("all answers", answered)
 
 
-def slow(s: Stepped) -> SlowTurn:
+def slow(s: SteppedInstance) -> SlowTurn:
     made = SlowTurn(s.reactor)
     s.instance.callers.clock = made
     return made
@@ -79,13 +79,13 @@
             len(callers.awaiting_first_request) * AWAITING_REQUEST_DIVISOR
             < callers.max_connections + AWAITING_REQUEST_DIVISOR
         ):
-            far = s.caller()
-            asked[far.ask()] = far
+            far = s.connect()
+            asked[far.send_request()] = far
             accept(s)
         clock.ahead += 2 * DISPLACEMENT_GRACE_S  # the same turn of the loop goes on
         for _ in range(8):
-            far = s.caller()
-            asked[far.ask()] = far
+            far = s.connect()
+            asked[far.send_request()] = far
             accept(s)
         all_answered(s, asked)
         assert not s.log.codes("connection-end")
@@ -94,14 +94,14 @@
 def test_one_that_says_nothing_still_gives_its_place_to_a_newcomer() -> None:
     with stepped(limits={"sockets": 96}) as s:
         clock, callers = slow(s), s.instance.callers
-        silent = [s.caller() for _ in range(callers.max_connections // AWAITING_REQUEST_DIVISOR + 1)]
+        silent = [s.connect() for _ in range(callers.max_connections // AWAITING_REQUEST_DIVISOR + 1)]
         accept(s)
         clock.ahead += 2 * DISPLACEMENT_GRACE_S
-        newcomer = s.caller()
+        newcomer = s.connect()
         accept(s)
-        all_answered(s, {newcomer.ask(): newcomer})
+        all_answered(s, {newcomer.send_request(): newcomer})
         assert s.log.codes("connection-end") == ["displaced"]
-        assert [far.pump().end for far in silent].count("reset") == 1
+        assert [far.read_available().end for far in silent].count("reset") == 1
 
 
 def test_one_that_was_bidden_farewell_is_not_cut_over_its_request() -> None:
@@ -111,19 +111,19 @@
         while (
             len(callers.connections) < callers.max_connections - callers.max_connections // DISPLACED_DIVISOR
         ):
-            far, _ = s.standing()
-            s.served(far)
+            far, _ = s.connect_accepted()
+            s.serve_request(far)
             resting.append(far)
         clock.ahead += 2 * DISPLACEMENT_GRACE_S
         asked = {}
         while len(callers.connections) < callers.max_connections:  # each bids farewell to one
-            far = s.caller()
-            asked[far.ask()] = far
+            far = s.connect()
+            asked[far.send_request()] = far
             accept(s)
         for far in resting:  # none has read its farewell yet
-            asked[far.ask()] = far
+            asked[far.send_request()] = far
         clock.ahead += 2 * DISPLACEMENT_GRACE_S
-        s.caller()
+        s.connect()
         accept(s)
         all_answered(s, asked)
 
@@ -133,15 +133,15 @@
         callers = s.instance.callers
         served = []
         while len(callers.connections) < callers.max_connections:
-            far, _ = s.standing()
-            s.served(far)
+            far, _ = s.connect_accepted()
+            s.serve_request(far)
             served.append(far)
         for far in served:
             far.close()
         asked = {}
         for _ in range(callers.max_connections // 2):
-            far = s.caller()
-            asked[far.ask()] = far
+            far = s.connect()
+            asked[far.send_request()] = far
         accept(s)  # all in one turn; the ends of the others lie unread
         all_answered(s, asked)
         assert "full" not in s.log.codes("connection-end")
@@ -152,15 +152,15 @@
     """After a turn, or a stop of the process, that took longer than the bound."""
     with stepped() as s:
         clock = slow(s)
-        far, ours = s.standing()
+        far, ours = s.connect_accepted()
         if state != "silent":
-            s.served(far)
+            s.serve_request(far)
         if state == "farewell":
             ours.send_farewell()
-        message, ref = far.framed()
+        message, ref = far.encode_request()
         if state == "half-message":
             far.write(message[:20])
-            s.until("the first half", lambda: ours.frames.has_partial_frame)
+            s.wait_until("the first half", lambda: ours.frames.has_partial_frame)
             message = message[20:]
         far.write(message)
         assert select.select([ours.transport.socket], [], [], MOST)[0], "it has not arrived"
@@ -186,8 +186,8 @@
             close(why)
 
         port.connectionLost = connect_first
-        before = s.caller()
-        asked = {before.ask(): before}
+        before = s.connect()
+        asked = {before.send_request(): before}
         s.instance.start_drain()
         s.instance.stop_accepting()
         [(far, connected)] = late
@@ -195,4 +195,4 @@
         assert not connected, "it stands, and is reset with what it writes"
         all_answered(s, asked)
         with pytest.raises(OSError, match="refused"):
-            s.caller()
+            s.connect()
