--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,8 +1,8 @@
-"""One instance on real loopback sockets, its reactor turned by hand: what happens between turns is forced.
+"""One instance on real loopback sockets, with an event loop that is advanced step by step.
 
-Far ends are plain sockets that read and write only when a test says so, so that bytes can lie unread in
-either side's buffers at the very moment at which the other side acts. Nothing here sleeps; what is awaited
-has a bound.
+The remote ends are plain sockets that read and write only when a test tells them to, so that a test can leave
+unread bytes in the buffers of either side at the moment when the other side acts. There are no sleeps, and
+every wait is bounded.
 """
 
 from __future__ import annotations
@@ -24,16 +24,16 @@
 from limeridge.net.service import Instance
 
 
-def bound_socket(kind: int = socket.SOCK_STREAM) -> socket.socket:
-    made = socket.socket(socket.AF_INET, kind)
+def bound_socket(socket_type: int = socket.SOCK_STREAM) -> socket.socket:
+    made = socket.socket(socket.AF_INET, socket_type)
     made.bind(("127.0.0.1", 0))
     return made
 
 
 def free_address() -> str:
-    """Where a process may listen later, on a loopback address of this process's own. A free number of
-    127.0.0.1 may go to a connection of any other process before it is listened on: the instance then waits
-    for it, as for one that a predecessor still holds."""
+    """An address on which a process can listen later, on a loopback host of this process's own. A free port
+    of 127.0.0.1 may be taken by a connection of another process before it is listened on; the instance would
+    then wait for it, as for one that a predecessor still holds."""
     number = os.getpid()
     host = f"127.{64 + (number >> 16) % 64}.{number >> 8 & 255}.{number & 255 or 255}"
     with socket.socket() as made:
@@ -47,13 +47,13 @@
 
 
 class RemoteEnd:
-    """A far end: reads what is there, and knows how its stream ended."""
+    """The remote end of a connection; reads what has arrived, and records how the stream ended."""
 
     def __init__(self, made: socket.socket) -> None:
         self.socket = made
         made.setblocking(False)
         self.data = b""
-        self.end = ""  # "end" for the end of the stream, "reset"
+        self.end = ""  # "end" or "reset" once the stream has ended
 
     def read_available(self) -> RemoteEnd:
         while not self.end:
@@ -66,8 +66,8 @@
                 break
             self.data += data
             if not data:
-                # A reset behind the end is seen by who looks for it alone, but it is one: with bytes still on
-                # their way, it takes them along.
+                # A reset right after the end of the stream shows only in SO_ERROR. It counts as a reset, as
+                # it discards bytes that are still in flight.
                 late = self.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
                 self.end = "reset" if late else "end"
         return self
@@ -91,7 +91,7 @@
         self.next_id = 0
 
     def messages(self) -> list[dict[str, Any]]:
-        """All that was heard so far, farewells among it."""
+        """All messages received so far, including farewells."""
         self.read_available()
         data, self.data = self.data, b""
         self.received += [orjson.loads(body) for body in self.frames.feed(data)]
@@ -104,7 +104,7 @@
         return any(each.get("method") == "farewell" for each in self.messages())
 
     def send_request(self, method: str = "look", **more: Any) -> str:
-        """The whole message in one write; gives its ref."""
+        """Sends a request in one write; returns its ref."""
         data, ref = self.encode_request(method, **more)
         self.write(data)
         return ref
@@ -131,12 +131,12 @@
 
 
 class KernelEnd(RemoteEnd):
-    """The kernel's end of a link; its cursor goes on over links."""
+    """The kernel's end of a link; the cursor continues across links."""
 
     cursor = 0
 
     def commands(self, event: str = "") -> list[dict[str, Any]]:
-        """What came so far, but for the gauges that are asked for."""
+        """The commands received so far, except requests for gauges."""
         self.read_available()
         found = [orjson.loads(line) for line in self.data.splitlines(keepends=True) if line.endswith(b"\n")]
         return [each for each in found if each["event"] != "SYSINFO" and event in ("", each["event"])]
@@ -194,28 +194,28 @@
         for _ in range(turns):
             self.reactor.iterate(0)
 
-    def wait_until(self, what: str, held: Callable[[], Any]) -> Any:
+    def wait_until(self, description: str, condition: Callable[[], Any]) -> Any:
         end = time.monotonic() + MOST
-        while not (found := held()):
-            assert time.monotonic() < end, f"not within {MOST:g} s: {what}"
+        while not (found := condition()):
+            assert time.monotonic() < end, f"not within {MOST:g} s: {description}"
             self.reactor.iterate(0.005)
         return found
 
-    def accept(self, listener: socket.socket, kind: type[RemoteEnd]) -> Any:
-        def taken() -> Any:
+    def accept(self, listener: socket.socket, remote_type: type[RemoteEnd]) -> Any:
+        def accept_now() -> Any:
             with suppress(BlockingIOError):
                 return listener.accept()[0]
             return None
 
-        far = kind(self.wait_until("a connection of the instance", taken))
-        self.remote_ends.append(far)
-        return far
+        remote = remote_type(self.wait_until("a connection of the instance", accept_now))
+        self.remote_ends.append(remote)
+        return remote
 
     def accept_link(self, listener: socket.socket | None = None) -> Any:
-        """A link of the instance, accepted and opened; nothing is told on it yet."""
-        far = self.accept(listener or self.kernel_listener, KernelEnd)
-        self.wait_until("the opening of a link", lambda: far.commands("OPEN"))
-        return far
+        """Accepts a link of the instance, and waits for its OPEN; sends nothing on it yet."""
+        remote = self.accept(listener or self.kernel_listener, KernelEnd)
+        self.wait_until("the opening of a link", lambda: remote.commands("OPEN"))
+        return remote
 
     def boot(self, cold: bool = False, listener: socket.socket | None = None) -> None:
         before, self.kernel = self.kernel, self.accept_link(listener)
@@ -227,18 +227,18 @@
 
     def connect(self) -> CallerEnd:
         host, _, port = self.configuration["listen"].rpartition(":")
-        far = CallerEnd(socket.create_connection((host, int(port)), timeout=MOST))
-        self.remote_ends.append(far)
-        return far
+        remote = CallerEnd(socket.create_connection((host, int(port)), timeout=MOST))
+        self.remote_ends.append(remote)
+        return remote
 
     def connect_accepted(self) -> tuple[CallerEnd, Any]:
-        """A caller whose connection was accepted, with our end of it."""
-        known, far = set(self.instance.callers.connections), self.connect()
+        """Connects a caller; returns it with the instance's end of the accepted connection."""
+        known, remote = set(self.instance.callers.connections), self.connect()
         new = self.wait_until("the connection", lambda: set(self.instance.callers.connections) - known)
-        return far, new.pop()
+        return remote, new.pop()
 
     def serve_request(self, caller: CallerEnd) -> str:
-        """One request through: its connection is at rest then, and is known to serve."""
+        """Has one request served completely, so that the connection is idle afterwards."""
         ref = caller.send_request()
         self.wait_for_run(ref)
         self.kernel.finish_run(ref)
@@ -257,8 +257,8 @@
         for each in self.reactor.removeAll():
             with suppress(Exception):
                 each.connectionLost(None) if hasattr(each, "socket") else each.fileno()
-        for far in self.remote_ends:
-            far.close()
+        for remote in self.remote_ends:
+            remote.close()
         for made in (self.kernel_listener, self.ledger_listener, self.node_list_socket):
             made.close()
         with suppress(Exception):
@@ -267,7 +267,7 @@
 
 @contextmanager
 def stepped(**changes: Any) -> Iterator[SteppedInstance]:
-    """One instance, closed at the end; no defect may be in its log."""
+    """One instance, closed at the end; fails if its log has an exception or defect."""
     made = SteppedInstance(**changes)
     try:
         yield made
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,6 +1,6 @@
-"""Two events that cross, forced: on loopback sockets whose reactor is turned by hand, and in memory.
+"""Races between two events, forced on loopback sockets with a stepped event loop, and in memory.
 
-docs/design/crossings.md has the table that these belong to.
+docs/design/crossings.md has the table of these races.
 """
 
 import errno
@@ -40,53 +40,53 @@
 
 
 @pytest.mark.parametrize("code", ["farewell", "displaced", "silent", "half-message", "drain"])
-def test_a_close_over_unread_bytes_is_no_reset_and_what_crosses_it_is_not_run(code: str) -> None:
+def test_close_over_unread_request_sends_no_reset_and_runs_nothing(code: str) -> None:
     with stepped() as s:
-        caller, ours = s.connect_accepted()
+        caller, connection = s.connect_accepted()
         s.serve_request(caller)
         crossing = caller.send_request()
-        ours.close(code)  # the request lies in the socket, unread
+        connection.close(code)  # the request is unread in the socket
         s.wait_until("the end of the stream", lambda: caller.read_available().end)
         assert caller.end == "end", "a reset, which takes answers on their way with it"
         s.iterate(3)
         assert crossing not in [c["handle"] for c in s.kernel.commands("SCHED")], "read late, run"
         caller.close()
-        s.wait_until("the end of ours", lambda: ours not in s.instance.callers.connections)
+        s.wait_until("the end of ours", lambda: connection not in s.instance.callers.connections)
         assert s.log.codes("connection-end") == [code]
 
 
-def test_answers_on_their_way_survive_a_close_over_half_a_line() -> None:
+def test_answers_in_flight_survive_a_close_over_partial_header() -> None:
     with stepped() as s:
-        caller, ours = s.connect_accepted()
+        caller, connection = s.connect_accepted()
         ref = caller.send_request()
         s.wait_for_run(ref)
         s.kernel.finish_run(ref)
-        s.wait_until("the answer to be written", lambda: not ours.open_txns)
+        s.wait_until("the answer to be written", lambda: not connection.open_txns)
         caller.write(b"Content-Len")
-        ours.close("half-message")
+        connection.close("half-message")
         s.wait_until("the end of the stream", lambda: caller.messages() and caller.end)
         assert caller.end == "end" and caller.answers_by_id()[1]["result"]["doc"] == "eA=="
 
 
-def test_what_was_read_before_a_spoilt_message_is_answered_then_the_stream_ends_in_order() -> None:
+def test_open_txns_are_answered_before_close_on_invalid_frame() -> None:
     with stepped() as s:
-        caller, ours = s.connect_accepted()
+        caller, connection = s.connect_accepted()
         ref = caller.send_request()
         s.wait_for_run(ref)
         caller.write(b"GARBAGE WITHOUT END\r\n\r\n" + b"x" * 5_000)
-        s.wait_until("the fault", lambda: ours.stop_code)
+        s.wait_until("the fault", lambda: connection.stop_code)
         caller.write(b"and more" * 1_000)
         s.kernel.finish_run(ref)
         s.wait_until("the end of the stream", lambda: caller.messages() and caller.end)
         assert caller.end == "end" and caller.answers_by_id()[1]["result"]["doc"] == "eA=="
 
 
-def test_a_peer_that_sends_on_after_the_end_is_read_up_to_a_bound_and_then_cut() -> None:
+def test_peer_that_keeps_sending_after_close_is_aborted_at_a_limit() -> None:
     with stepped() as s:
-        caller, ours = s.connect_accepted()
-        ours.close("silent")
+        caller, connection = s.connect_accepted()
+        connection.close("silent")
         sent = 0
-        # Longer than the test may take, so that nothing else ends it.
+        # The clock stands still, so that no timeout closes the connection.
         s.instance.callers.clock = SimpleNamespace(seconds=lambda: 0.0)
 
         def cut() -> bool:
@@ -100,10 +100,10 @@
             return False
 
         s.wait_until("the cut", cut)
-        assert sent > MAX_DISCARDED_BYTES and ours not in s.instance.callers.connections
+        assert sent > MAX_DISCARDED_BYTES and connection not in s.instance.callers.connections
 
 
-def test_one_that_never_closes_its_own_end_is_cut_after_a_while_and_takes_no_place() -> None:
+def test_peer_that_never_closes_its_end_is_aborted_after_a_timeout() -> None:
     net = Net()
     net.boot()
     caller = net.caller()
@@ -113,7 +113,7 @@
     assert caller.transport.disconnected
 
 
-def test_one_that_is_being_closed_and_has_to_make_room_is_cut_and_not_forgotten() -> None:
+def test_half_closed_connection_that_is_displaced_is_aborted() -> None:
     net = Net(limits={"sockets": 128})
     net.boot()
     callers = net.instance.callers
@@ -126,10 +126,10 @@
     assert cut.transport.disconnected, "out of the table, and its descriptor held for ever"
 
 
-def test_a_resting_connection_that_gives_way_hears_a_farewell_and_what_crosses_it_is_served() -> None:
+def test_displaced_idle_connection_gets_a_farewell_and_its_crossing_request_is_served() -> None:
     with stepped(limits={"sockets": 64}) as s:
         callers = s.instance.callers
-        resting, ours = s.connect_accepted()
+        resting, connection = s.connect_accepted()
         s.serve_request(resting)
         others = []
         while (
@@ -142,23 +142,23 @@
             "the first to have rested a while",
             lambda: s.reactor.seconds() - max(c.last_active_at for c in callers.connections) > 0.06,
         )
-        crossing = resting.send_request()  # unread when the newcomer comes
+        crossing = resting.send_request()  # unread when the newcomer connects
         known = set(callers.connections)
         newcomer = s.connect()
-        # The newcomer is taken first, so that the farewell and the request cross.
+        # The newcomer is accepted first, so that the farewell and the request cross.
         s.instance.listening_port.doRead()
-        assert set(callers.connections) - known and ours in callers.being_displaced
+        assert set(callers.connections) - known and connection in callers.being_displaced
         s.wait_for_run(crossing)
         s.kernel.finish_run(crossing)
         s.wait_until("the answer", lambda: resting.answers_by_id().get(2))
         assert resting.received_farewell() and resting.answers_by_id()[2]["result"]["doc"] == "eA=="
         s.serve_request(newcomer)
         resting.close()
-        s.wait_until("its end", lambda: ours not in callers.connections)
+        s.wait_until("its end", lambda: connection not in callers.connections)
         assert s.log.codes("connection-end") == ["displaced"] and not callers.being_displaced
 
 
-def test_an_answer_to_a_connection_that_another_replaced_goes_nowhere_and_breaks_nothing() -> None:
+def test_answer_to_a_reset_connection_is_dropped() -> None:
     with stepped() as s:
         caller, _ = s.connect_accepted()
         ref = caller.send_request()
@@ -171,8 +171,8 @@
         assert s.log.codes("connection-end") == ["peer-reset"] and not s.instance.facade.owed()
 
 
-def test_no_small_write_of_ours_is_ever_held_back() -> None:
-    """On each socket of ours, before the first write."""
+def test_tcp_no_delay_is_set_before_the_first_write() -> None:
+    """For each kind of connection."""
     net = Net()
     net.boot()
     caller = net.caller()
@@ -184,19 +184,19 @@
         assert transport.no_delay and transport.before_no_delay == b""
 
 
-def test_a_paused_reader_gets_its_answers_before_the_end() -> None:
-    """Its answers wait with us as it does not read; the end of the process is no reason to lose them."""
+def test_peer_that_paused_reading_gets_its_answers_before_the_close() -> None:
+    """Its answers are buffered while it does not read; the exit of the process must not lose them."""
     with stepped() as s:
-        caller, ours = s.connect_accepted()
-        ours.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 16_384)
+        caller, connection = s.connect_accepted()
+        connection.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 16_384)
         doc = "A" * 4_000
         asked = 0
-        while not ours.backlog:
+        while not connection.backlog:
             ref = caller.send_request()
             asked += 1
             s.wait_for_run(ref)
             s.kernel.finish_run(ref, doc)
-            s.wait_until("the answer to be given", lambda: not ours.open_txns)
+            s.wait_until("the answer to be given", lambda: not connection.open_txns)
         assert asked < 200
         s.instance.start_drain()
         s.iterate(2)
@@ -208,11 +208,11 @@
 # ---- shutdown
 
 
-def test_the_listening_socket_is_closed_in_the_turn_in_which_its_backlog_was_read() -> None:
-    """Else a connection made in between stands, and is reset with the request that it wrote."""
+def test_listening_socket_is_closed_in_the_iteration_that_empties_its_backlog() -> None:
+    """Otherwise a connection made in between is established, and then reset together with its request."""
     with stepped() as s:
         port = s.instance.listening_port
-        port.numberAccepts = 1  # as after a quiet turn
+        port.numberAccepts = 1  # as after an iteration with few connections
         waiting = [s.connect() for _ in range(30)]
         refs = [caller.send_request() for caller in waiting]
         s.instance.draining, s.instance.stopped_accepting = True, True
@@ -225,7 +225,7 @@
             assert caller.received_farewell() and not caller.end
 
 
-def test_a_backlog_larger_than_the_table_is_emptied_whole() -> None:
+def test_backlog_above_the_connection_limit_is_emptied() -> None:
     with stepped(limits={"sockets": 64}) as s:
         waiting = [s.connect() for _ in range(60)]
         for caller in waiting:
@@ -240,16 +240,14 @@
 
 
 @pytest.mark.parametrize("grace", [0, 300_000])
-def test_a_request_read_after_the_notice_runs_within_the_grace_and_is_declined_after_it(grace: int) -> None:
+def test_request_read_after_the_signal_runs_within_the_grace_period_only(grace: int) -> None:
     settings = SAMPLE["settings"] | {"guarantees": SAMPLE["settings"]["guarantees"] | {"drainGrace": grace}}
     with stepped(settings=settings, stop_ms=20_000) as s:
         caller, _ = s.connect_accepted()
         s.serve_request(caller)
         s.instance.start_drain()
         now = time.time() * 1000
-        ref = caller.send_request(
-            s=int(now + 1_000 * (grace == 0))
-        )  # grace 0: it landed a moment after the notice
+        ref = caller.send_request(s=int(now + 1_000 * (grace == 0)))  # grace 0: sent just after the signal
         if grace:
             s.wait_for_run(ref)
             s.kernel.finish_run(ref)
@@ -259,12 +257,12 @@
             assert answer["error"]["code"] == -32008 and s.kernel.commands("SCHED")[-1]["handle"] != ref
 
 
-def test_a_request_that_crosses_the_farewell_of_the_drain_is_answered() -> None:
+def test_request_that_crosses_the_drain_farewell_is_answered() -> None:
     with stepped(stop_ms=20_000) as s:
         caller, _ = s.connect_accepted()
         s.serve_request(caller)
         s.instance.start_drain()
-        caller.send_request()  # unread while the door is shut
+        caller.send_request()  # unread when accepting stops
         s.instance.stop_accepting()
         answer = s.wait_until(
             "its answer",
@@ -274,7 +272,7 @@
         assert caller.received_farewell() and ("result" in answer or answer["error"]["code"] == -32008)
 
 
-def test_what_the_last_turn_read_is_answered_before_the_streams_end() -> None:
+def test_requests_read_in_the_last_iteration_are_answered_before_the_close() -> None:
     with stepped(stop_ms=1_000) as s:
         caller, _ = s.connect_accepted()
         s.serve_request(caller)
@@ -284,13 +282,13 @@
         )
         caller.send_request()
         s.wait_until("it to be read", lambda: s.instance.jobs or caller.answers_by_id().get(2))
-        s.instance.close_streams()  # in the very turn: the brain was not asked yet
+        s.instance.close_streams()  # in the same iteration, before the brain has decided
         s.wait_until("the end of the stream", lambda: caller.messages() and caller.end)
         assert caller.end == "end" and caller.answers_by_id()[2]["error"]["code"] == -32008
         assert not s.instance.facade.owed()
 
 
-def test_a_run_that_ends_in_the_turn_of_the_last_look_changes_no_answer() -> None:
+def test_run_that_ends_during_the_final_close_changes_no_answer() -> None:
     with stepped(stop_ms=600) as s:
         caller, _ = s.connect_accepted()
         ref = caller.send_request()
@@ -306,7 +304,7 @@
         s.wait_until("the process's own end", lambda: s.stopped)
 
 
-def test_the_connections_end_before_the_process_does() -> None:
+def test_connections_are_closed_before_the_process_exits() -> None:
     net = Net()
     net.boot()
     caller = net.caller()
@@ -320,13 +318,14 @@
     assert stopped
 
 
-def test_a_notice_with_hardly_any_time_shuts_the_door_once() -> None:
+def test_drain_with_hardly_any_time_stops_accepting_once() -> None:
     with stepped(stop_ms=100) as s:
         caller, _ = s.connect_accepted()
         s.serve_request(caller)
         caller.send_request()
         s.instance.start_drain()
-        while s.reactor.seconds() < s.instance.kill_at - 0.04:  # a pause: all is due at once
+        # A pause, after which all timers are due at once.
+        while s.reactor.seconds() < s.instance.kill_at - 0.04:
             pass
         s.wait_until("the end of the stream", lambda: caller.messages() and caller.end)
         assert caller.end == "end" and caller.answers_by_id()[2]["error"]["code"] == -32008
@@ -334,15 +333,15 @@
         assert not [line for line in s.log.lines if line["event"] == "service-fault"]
 
 
-def test_a_notice_to_leave_while_the_address_is_still_held_ends_the_process_and_listens_no_more() -> None:
+def test_drain_while_the_address_is_in_use_ends_the_listen_retries() -> None:
     net = Net()
     tried: list[int] = []
 
-    def held(*_: Any) -> None:
+    def refuse_listen(*_: Any) -> None:
         tried.append(1)
         raise CannotListenError("", 1, OSError(errno.EADDRINUSE, "in use"))
 
-    net.reactor.listenTCP = held  # type: ignore[method-assign]
+    net.reactor.listenTCP = refuse_listen  # type: ignore[method-assign]
     net.instance.listen(MAX_LISTEN_RETRIES)
     net.pass_time(0.2)
     before = len(tried)
@@ -356,16 +355,16 @@
     assert net.log.codes("drain") == ["begun", "again", "done"]
 
 
-def test_an_address_that_a_dying_predecessor_holds_is_waited_for_and_one_that_is_not_ours_is_not() -> None:
+def test_address_in_use_is_retried_without_limit_and_foreign_address_is_not() -> None:
     for number, code in ((errno.EADDRINUSE, 0), (errno.EADDRNOTAVAIL, 1)):
         net = Net()
         stopped: list[bool] = []
         net.reactor.stop = lambda: stopped.append(True)  # type: ignore[method-assign] # noqa: B023
 
-        def held(*_: Any, number: int = number) -> None:
+        def refuse_listen(*_: Any, number: int = number) -> None:
             raise CannotListenError("", 1, OSError(number, os.strerror(number)))
 
-        there, net.reactor.listenTCP = net.reactor.listenTCP, held  # type: ignore[method-assign]
+        there, net.reactor.listenTCP = net.reactor.listenTCP, refuse_listen  # type: ignore[method-assign]
         net.instance.listen(MAX_LISTEN_RETRIES)
         net.pass_time(4 * MAX_LISTEN_RETRIES * LISTEN_RETRY_S)
         assert bool(stopped) == bool(code) and net.instance.exit_code == code
@@ -378,11 +377,11 @@
         assert len(net.log.codes("listen")) <= MAX_LISTEN_RETRIES + 1
 
 
-# ---- the kernel's link
+# ---- link to the kernel
 
 
-def test_commands_written_last_reach_the_old_kernel_though_its_notices_lie_unread() -> None:
-    """A reply is never sent again, so one that is lost with the old link costs its request."""
+def test_last_commands_reach_the_old_kernel_despite_unread_notices() -> None:
+    """A reply is never sent again, so one that is lost with the old link fails its txn."""
     with stepped() as s:
         kernel, old = s.instance.kernel, s.kernel
         caller, _ = s.connect_accepted()
@@ -395,14 +394,14 @@
         s.wait_until(
             "the reply to be commanded", lambda: ref in kernel.uncarried and kernel.uncarried[ref].replies_to
         )
-        old.send_notice(event="DMESG", fate="on its way")  # unread as the new link stands
+        old.send_notice(event="DMESG", fate="on its way")  # unread when the new link is connected
         kernel.dial = Dial(kernel)
         kernel.dial.buildProtocol(None).makeConnection(Wire())
         s.wait_until("the end of the old stream", lambda: old.read_available().end)
         assert old.end == "end" and [c["handle"] for c in old.commands("IODONE")] == [ref]
 
 
-def test_a_request_that_comes_before_the_kernel_is_up_does_not_hide_that_it_is_cold() -> None:
+def test_request_before_the_kernel_is_up_does_not_hide_a_cold_start() -> None:
     net = Net(
         settings=SAMPLE["settings"]
         | {"familyInfo": SAMPLE["settings"]["familyInfo"] | {"justStarted": False}}
@@ -420,7 +419,7 @@
     assert answer["result"]["doc"] == "eA==" and answer["result"]["v"] < 0.5
 
 
-def test_a_link_lost_in_the_turn_of_its_resume_sends_nothing_twice() -> None:
+def test_link_lost_while_resuming_sends_nothing_twice() -> None:
     net = Net()
     net.boot()
     caller = net.caller()
@@ -432,7 +431,7 @@
     net.tell(event="BOOTED", fate="warm", lasted=60_000)
     lost = net.link
     net.tell(event="INFO", ticket="fence", figures=[0, 0, 0, 0])
-    net.lose(net.link, clean=False)  # in the turn of the resume
+    net.lose(net.link, clean=False)  # in the iteration of the resume
     lost.dataReceived(b'{"event":"REAP","cursor":1,"handle":"%b","fate":"failed"}\n' % ref.encode())
     net.pass_time(0.2)
     net.boot(again=[{"event": "REAP", "cursor": 1, "handle": ref, "fate": "ok", "lasted": 5, "arg": "eA=="}])
@@ -440,7 +439,7 @@
     assert [a["result"]["doc"] for a in net.answers(caller)] == ["eA=="]
 
 
-def test_a_link_that_is_refused_for_long_is_there_soon_after_the_kernel_is() -> None:
+def test_refused_link_is_retried_often_enough() -> None:
     net = Net()
     for _ in range(20):
         net.reactor.advance(0)
@@ -452,7 +451,7 @@
 # ---- the node list
 
 
-def test_a_socket_for_reports_that_can_t_be_had_at_the_start_is_tried_for_again() -> None:
+def test_report_socket_that_fails_at_start_is_retried() -> None:
     net = Net()
     net.instance.node_list.transport = None
     good = net.reactor.listenUDP
@@ -471,7 +470,7 @@
     assert set(net.reactor.reports) == {b"HERE n1 on"} and "no-socket" in net.log.codes("reports")
 
 
-def test_a_list_that_moves_while_it_is_down_and_while_we_drain_hears_from_us_at_its_new_place() -> None:
+def test_node_list_that_moves_gets_reports_at_its_new_address() -> None:
     net = Net()
     net.boot()
     net.pass_time(0.4)
@@ -490,7 +489,7 @@
 # ---- configuration
 
 
-# What the sample says of an instance and the other file does not, and can't change while it runs.
+# Settings that only the sample file has, and that need a restart.
 NOT_LIVE = (
     "callsOver",
     "gauges",
@@ -504,7 +503,7 @@
 )
 
 
-def test_another_customer_s_settings_in_a_reload_change_addresses_and_tenants_alone() -> None:
+def test_reload_of_foreign_settings_changes_only_addresses_and_tenants() -> None:
     net = Net()
     net.boot()
     caller = net.caller()
@@ -532,7 +531,7 @@
     assert [c["handle"] for c in net.commands()] == [ref]
 
 
-def test_two_notices_of_new_configuration_at_once_and_one_in_the_middle_of_a_drain() -> None:
+def test_two_reloads_at_once_during_a_drain() -> None:
     with stepped(stop_ms=20_000) as s:
         place = bound_socket()
         place.listen(8)
@@ -540,7 +539,7 @@
         s.configuration = s.configuration | {"kernel": address(place)}
         s.instance.start_drain()
         s.instance.reload()
-        s.instance.reload()  # the address is the same now: the dial that is under way is the one
+        s.instance.reload()  # same address, so the pending connection attempt is kept
         s.boot(listener=place)
         assert s.log.codes("reload") == ["taken", "taken"] and s.instance.draining
         s.wait_until("the end of the old link", lambda: s.remote_ends[0].read_available().end)
@@ -550,9 +549,9 @@
         place.close()
 
 
-def test_a_notice_that_comes_before_there_is_anybody_to_take_it_is_taken_later(tmp_path: Path) -> None:
-    """The real process. Its configuration is a pipe, so that it is read when we say: the notice comes between
-    the reading and the taking over of signals."""
+def test_sighup_before_the_handler_is_installed_is_handled_later(tmp_path: Path) -> None:
+    """SIGHUP to a real process between its start of reading the configuration, which is a named pipe, and the
+    installation of its signal handlers."""
     config, pipe = SAMPLE | {"listen": free_address(), "kernel": "127.0.0.1:9"}, tmp_path / "config"
     os.mkfifo(pipe)
     with (tmp_path / "log").open("wb") as log:
@@ -567,7 +566,7 @@
         made: list[int] = []
 
         def read_by_it() -> bool:
-            with suppress(OSError):  # nobody reads yet
+            with suppress(OSError):  # the process has not opened it yet
                 made.append(os.open(pipe, os.O_WRONLY | os.O_NONBLOCK))
             return bool(made)
 
@@ -585,8 +584,8 @@
 
 
 @pytest.mark.parametrize("times", [1, 2])
-def test_a_notice_to_leave_beside_an_unread_request_loses_nothing(times: int, tmp_path: Path) -> None:
-    """The real process stands still while both arrive."""
+def test_drain_signal_beside_unread_requests_loses_nothing(times: int, tmp_path: Path) -> None:
+    """A real process is stopped while the request and the signal arrive."""
     with process(tmp_path) as p:
         caller = p.connect()
         caller.send_heartbeat()
@@ -616,7 +615,7 @@
 
 
 class RealProcess:
-    """A real process of the program; the far ends are the test's own sockets."""
+    """A real process; the remote ends are sockets of the test."""
 
     def __init__(self, folder: Path, **changes: Any) -> None:
         self.kernel_listener, self.ledger_listener, self.node_list_socket = (
@@ -650,11 +649,13 @@
     def log_bytes(self) -> bytes:
         return self.log.read_bytes()
 
-    def wait_until(self, what: str, held: Any) -> Any:
+    def wait_until(self, description: str, condition: Any) -> Any:
         end = time.monotonic() + MOST
-        while not (found := held()):
+        while not (found := condition()):
             in_time = time.monotonic() < end and self.process.poll() is None
-            assert in_time, f"not within {MOST:g} s: {what}; its log ends with {self.log_bytes()[-2_000:]!r}"
+            assert in_time, (
+                f"not within {MOST:g} s: {description}; its log ends with {self.log_bytes()[-2_000:]!r}"
+            )
             time.sleep(0.005)
         return found
 
@@ -704,7 +705,7 @@
 
 
 def newcomer(p: RealProcess) -> CallerEnd:
-    """As a usual caller comes: one that is turned away at the door comes again."""
+    """Connects like a regular caller, which retries when its connection is rejected."""
     found: list[CallerEnd] = []
 
     def heard() -> bool:
@@ -721,8 +722,9 @@
 
 @pytest.mark.skipif(not Path("/proc/self/stat").exists(), reason="looks at /proc")
 @pytest.mark.parametrize("says", ["nothing", "checks", "half a message"])
-def test_idle_clients_may_fill_the_descriptors_while_the_list_is_down(says: str, tmp_path: Path) -> None:
-    """Requests of usual callers, the kernel's link and its relink, calls and reports still find theirs."""
+def test_idle_clients_that_fill_the_descriptors_block_nothing(says: str, tmp_path: Path) -> None:
+    """Regular callers, the link to the kernel, calls and reports still get descriptors; the node list is
+    down."""
     with process(tmp_path, limits={"sockets": 96}) as p:
         usual = p.connect()
 
@@ -753,7 +755,7 @@
             with suppress(OSError):
                 client = p.connect()
                 idle.append(client)
-                with suppress(OSError):  # it was turned away
+                with suppress(OSError):  # the connection was rejected
                     if says == "checks":
                         client.send_heartbeat()
                     elif says == "half a message":
@@ -770,7 +772,7 @@
         served(newcomer(p))
         p.node_list_socket.settimeout(MOST)
         begun = processor_seconds(p)
-        for _ in range(5):  # a report each 0.3 s, also with nobody there to list it
+        for _ in range(5):  # a report every 0.3 s, although the node list does not answer
             assert p.node_list_socket.recv(100).split() == [b"HERE", b"n1", b"on"]
         assert processor_seconds(p) - begun < 1.0, "it spins"
         assert p.log_bytes().count(b"\n") < 400, "a flood of lines"
@@ -780,7 +782,7 @@
         served(p.connect())
 
 
-def test_what_the_machine_grants_is_shared_out_and_not_what_the_file_says(tmp_path: Path) -> None:
+def test_descriptor_limit_of_the_system_caps_the_configured_one(tmp_path: Path) -> None:
     (tmp_path / "config.json").write_bytes(orjson.dumps(SAMPLE | {"listen": free_address()}))
     with (tmp_path / "log").open("wb") as log:
         child = subprocess.Popen(
@@ -799,7 +801,7 @@
         child.wait()
 
 
-def test_results_kept_for_repeats_take_no_more_than_their_part_of_a_small_memory() -> None:
+def test_stored_results_are_bounded_by_memory() -> None:
     net = Net(limits={"memory_mb": 16})
     net.boot()
     caller, doc = net.caller(), "A" * 14_000
@@ -814,14 +816,14 @@
 # ---- repeats
 
 
-def test_a_repeat_read_in_the_turn_in_which_the_run_ends_shares_its_result() -> None:
+def test_repeat_read_as_the_run_ends_shares_its_result() -> None:
     with stepped() as s:
         caller, _ = s.connect_accepted()
         again, _ = s.connect_accepted()
         ref = caller.send_request("book", k="acct")
         s.wait_for_run(ref)
         s.kernel.finish_run(ref, "b25l")
-        again.send_request("book", k="acct", r=1)  # both lie unread
+        again.send_request("book", k="acct", r=1)  # end of the run and repeat are both unread
         s.wait_until("both answers", lambda: caller.answers_by_id().get(1) and again.answers_by_id().get(1))
         assert {caller.answers_by_id()[1]["result"]["doc"], again.answers_by_id()[1]["result"]["doc"]} == {
             "b25l"
@@ -831,10 +833,8 @@
 
 @pytest.mark.parametrize("open_still", [True, False])
 @pytest.mark.parametrize("other", [{"doc": "b3RoZXI="}, {"t": "acme east"}])
-def test_a_key_that_comes_with_another_body_or_tenant_gets_neither_a_result_nor_a_run(
-    other: dict[str, Any], open_still: bool
-) -> None:
-    """As bad clients send it: what is served to them is lost to whoever owns it."""
+def test_key_reused_with_another_body_or_tenant_is_rejected(other: dict[str, Any], open_still: bool) -> None:
+    """A result served to a misbehaving client would be lost to the owner of the key."""
     accounts = [*SAMPLE["settings"]["accounts"], {"name": "acme east"}]
     net = Net(settings=SAMPLE["settings"] | {"accounts": accounts})
     net.boot()
@@ -853,7 +853,7 @@
     assert [a["result"]["doc"] for a in net.answers(caller)] == ["b25l"] * 2, "its own repeats are as before"
 
 
-def test_a_key_first_used_by_one_that_the_kernel_does_not_know_is_free_for_its_owner() -> None:
+def test_key_of_a_txn_unknown_to_the_kernel_stays_free() -> None:
     net = Net()
     net.boot()
     bad, caller = net.caller(), net.caller()
@@ -867,13 +867,13 @@
     assert net.answers(caller)[0]["result"]["doc"] == "b25l"
 
 
-def test_a_repeat_after_its_first_try_was_taken_back_joins_the_run_that_goes_on() -> None:
+def test_repeat_after_a_revoke_joins_the_run_in_progress() -> None:
     with stepped() as s:
-        caller, ours = s.connect_accepted()
+        caller, connection = s.connect_accepted()
         ref = caller.send_request("book", k="acct")
         s.wait_for_run(ref)
         caller.write(caller_revokes(1))
-        s.wait_until("the revoke", lambda: not ours.open_txns)
+        s.wait_until("the revoke", lambda: not connection.open_txns)
         caller.send_request("book", k="acct", r=1)
         s.wait_until("the repeat", lambda: len(s.instance.jobs) == 2)
         s.kernel.finish_run(ref, "b25l")
@@ -887,8 +887,8 @@
 
 
 @pytest.mark.parametrize(("landed", "runs"), [(-0.02, 1), (0.02, 2)])
-def test_a_repeat_at_the_end_of_a_short_window_goes_by_when_it_landed(landed: float, runs: int) -> None:
-    """Read at the same time: what landed within the window never runs again, what landed after it may."""
+def test_repeat_at_the_end_of_the_window_counts_by_its_send_time(landed: float, runs: int) -> None:
+    """Both are read at the same time: a repeat sent within the window never runs again, a later one may."""
     classes = [SAMPLE["settings"]["classes"][0], SAMPLE["settings"]["classes"][1] | {"keyTtl": 500_000}]
     net = Net(settings=SAMPLE["settings"] | {"classes": classes, "round": 0})
     net.boot()
@@ -903,7 +903,7 @@
     assert len(net.answers(caller)) == 3 - runs
 
 
-def test_an_id_that_is_open_on_another_connection_runs_once_and_costs_the_first_nothing() -> None:
+def test_ref_open_on_another_connection_runs_once() -> None:
     with stepped() as s:
         caller, _ = s.connect_accepted()
         other, _ = s.connect_accepted()
@@ -924,64 +924,65 @@
     "piece", [b"", b"HTTP/1.1 200 OK\r\nConte", b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nre"]
 )
 @pytest.mark.parametrize("how", ["end", "reset"])
-def test_a_reply_cut_anywhere_proves_nothing(piece: bytes, how: str) -> None:
+def test_truncated_reply_counts_as_broken(piece: bytes, how: str) -> None:
     with stepped() as s:
-        told: list[End] = []
+        outcomes: list[End] = []
         call = s.instance.ledger.call("0" * 16, 5_000_000, b"body")
-        call.done.addCallback(lambda called: told.append(called.end))
-        line = s.accept(s.ledger_listener, RemoteEnd)
-        s.wait_until("the call", lambda: line.read_available().data.endswith(b"body"))
-        line.write(piece)
-        line.close() if how == "end" else line.reset()
-        s.wait_until("its end", lambda: told)
-        assert told == [End.BROKEN] and s.instance.ledger.connections == 0
+        call.done.addCallback(lambda called: outcomes.append(called.end))
+        call_connection = s.accept(s.ledger_listener, RemoteEnd)
+        s.wait_until("the call", lambda: call_connection.read_available().data.endswith(b"body"))
+        call_connection.write(piece)
+        call_connection.close() if how == "end" else call_connection.reset()
+        s.wait_until("its end", lambda: outcomes)
+        assert outcomes == [End.BROKEN] and s.instance.ledger.connections == 0
 
 
-def test_a_reply_in_the_turn_of_its_time_out_is_told_once() -> None:
+def test_reply_that_coincides_with_its_timeout_is_reported_once() -> None:
     with stepped() as s:
-        told: list[End] = []
+        outcomes: list[End] = []
         call = s.instance.ledger.call("0" * 16, 50_000, b"body")
-        call.done.addCallback(lambda called: told.append(called.end))
-        line = s.accept(s.ledger_listener, RemoteEnd)
-        s.wait_until("the call", lambda: line.read_available().data.endswith(b"body"))
-        line.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nreply")
+        call.done.addCallback(lambda called: outcomes.append(called.end))
+        call_connection = s.accept(s.ledger_listener, RemoteEnd)
+        s.wait_until("the call", lambda: call_connection.read_available().data.endswith(b"body"))
+        call_connection.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nreply")
         end = s.reactor.seconds() + 0.06
-        while s.reactor.seconds() < end:  # no turn of the loop: reply and time-out are both due then
+        while s.reactor.seconds() < end:  # no iteration of the loop, so that reply and timeout are both due
             pass
-        s.wait_until("its end", lambda: told)
+        s.wait_until("its end", lambda: outcomes)
         s.iterate(5)
-        assert told in ([End.TIMED_OUT], [End.OK]) and s.instance.ledger.connections == 0
+        assert outcomes in ([End.TIMED_OUT], [End.OK]) and s.instance.ledger.connections == 0
 
 
-# ---- floods and late ones
+# ---- floods
 
 
-def test_more_messages_than_a_turn_takes_with_the_end_behind_them_are_all_taken() -> None:
+def test_messages_beyond_one_iteration_are_handled_despite_end_of_stream() -> None:
     with stepped() as s:
-        caller, ours = s.connect_accepted()
+        caller, connection = s.connect_accepted()
         for _ in range(100):
             caller.send_heartbeat()
         s.wait_until("all answers", lambda: len(caller.answers_by_id()) == 100)
-        refs = [caller.send_request() for _ in range(20)]  # over a turn's share; the end comes with them
+        # More than one iteration handles, followed by the end of the stream.
+        refs = [caller.send_request() for _ in range(20)]
         caller.socket.shutdown(socket.SHUT_WR)
-        s.wait_until("its end", lambda: ours not in s.instance.callers.connections)
+        s.wait_until("its end", lambda: connection not in s.instance.callers.connections)
         s.wait_until("the runs to be known as nobody's", lambda: not s.instance.facade.owed())
-        assert len(refs) == 20 and not ours.open_txns
+        assert len(refs) == 20 and not connection.open_txns
 
 
 # ---- the last moments before the kill
 
 
-def test_the_process_ends_its_last_call_before_the_kill_and_no_look_later() -> None:
-    """What happens: SIGKILL at `stop_ms` after the notice finds a process that has drained still there, in 3
-    lives of 4 on a loaded machine. Why: it ended with the next of the looks at the drain, 0.05 s apart, so
-    that of the 0.08 s before the kill 0.03 s were left; with nobody connected any more it waited 0.15 s for
-    newcomers that could not come. What showed it: the log's `drain` `time-up` with `connections` 0, 0.017 to
-    0.039 s before the kill."""
+def test_process_exits_at_its_deadline_before_the_kill() -> None:
+    """Failure: at SIGKILL, `stop_ms` after the signal, a drained process was still running, in 3 runs of 4 on
+    a loaded machine. Cause: it exited only at the next check of the drain, which ran every 0.05 s, so that
+    0.03 s of the 0.08 s before the kill were left; and with no connection left it waited 0.15 s for new ones
+    that could not come. Evidence: `drain` `time-up` with `connections` 0 in the log, 0.017 to 0.039 s before
+    the kill."""
     for offset in (0.0, 0.013, 0.031, 0.049):
         net = Net()
         net.boot()
-        net.caller()  # never ends its own end
+        net.caller()  # never closes its end
         ended: list[float] = []
         net.reactor.stop = lambda: ended.append(net.reactor.seconds())  # type: ignore[method-assign] # noqa: B023
         net.pass_time(offset, 0.001)
@@ -991,7 +992,7 @@
         assert ended and EXIT_BEFORE_KILL_S - 0.002 <= kill_at - ended[0] <= EXIT_BEFORE_KILL_S + 0.002
 
 
-def test_the_process_ends_as_soon_as_all_streams_have_ended() -> None:
+def test_process_exits_once_all_streams_have_ended() -> None:
     with stepped(stop_ms=1_000) as s:
         caller, _ = s.connect_accepted()
         s.serve_request(caller)
@@ -1003,15 +1004,15 @@
         assert s.log.codes("drain")[-1] == "done"
 
 
-def test_the_kill_follows_the_signal_and_not_the_turn_in_which_it_is_taken() -> None:
-    """The signal's handler runs within a turn of the loop, and what it asks for in the next one."""
+def test_kill_time_counts_from_the_signal() -> None:
+    """The signal handler runs within an iteration of the event loop, the drain starts in the next one."""
     net = Net()
     net.boot()
     instance = net.instance
     instance.record_signal(signal.SIGHUP)
     signalled = net.reactor.seconds()
     instance.record_signal(signal.SIGTERM)
-    net.reactor.rightNow += 0.4  # the turn goes on
+    net.reactor.rightNow += 0.4  # the iteration continues
     instance.record_signal(signal.SIGINT)
     instance.start_drain()
     stop = SAMPLE["stop_ms"] / 1_000
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,4 @@
-"""The real protocols over transports in memory: a txn's way, and what peers and links can do to it."""
+"""The real protocols over in-memory transports: the handling of a txn, and failures of peers and links."""
 
 import ast
 import os
@@ -43,7 +43,7 @@
 
 
 def at_call(net: Net) -> tuple[Any, str, Any]:
-    """A txn whose run is at a call that is out: its caller, its ref, the connection of the call."""
+    """A txn whose run waits for a call: its caller, its ref, and the connection of the call."""
     caller = net.caller()
     ref = net.ask(caller, 1)
     net.commands()
@@ -56,15 +56,15 @@
     return dict(answers[0]["error"])
 
 
-def test_a_whole_txn_with_a_call() -> None:
+def test_txn_with_a_call_is_served() -> None:
     net = booted()
-    caller, ref, line = at_call(net)
-    head, _, body = line.transport.sent().partition(b"\r\n\r\n")
+    caller, ref, call_connection = at_call(net)
+    head, _, body = call_connection.transport.sent().partition(b"\r\n\r\n")
     assert head.startswith(b"POST /records/op HTTP/1.1\r\n") and body == b"call"
     fields = dict(field.split(b": ") for field in head.split(b"\r\n")[1:])
     assert fields[b"Op-Of"] == ref.encode() and 0 < int(fields[b"Op-Wait-Ms"]) <= 1_000
     for part in (REPLY[:20], REPLY[20:]):
-        line.dataReceived(part)
+        call_connection.dataReceived(part)
     assert net.commands() == [{"event": "IODONE", "handle": ref, "arg": "cmVwbHk="}]
     net.tell(event="REAP", cursor=None, handle=ref, fate="ok", lasted=30, arg="ZG9uZQ==")
     [answer] = net.answers(caller)
@@ -77,21 +77,19 @@
     ("before", "behind"),
     [(b"", REPLY), (b"", b"\x00noise"), (b"HTTP/1.1 103 Early\r\nLink: a\r\n\r\n" * 2, b"")],
 )
-def test_a_good_reply_is_used_whatever_stands_round_it_and_meets_no_other_call(
-    before: bytes, behind: bytes
-) -> None:
+def test_valid_reply_is_used_despite_surrounding_bytes(before: bytes, behind: bytes) -> None:
     net = booted()
-    _, ref, line = at_call(net)
-    line.dataReceived(before + REPLY + behind)
+    _, ref, call_connection = at_call(net)
+    call_connection.dataReceived(before + REPLY + behind)
     assert net.commands() == [{"event": "IODONE", "handle": ref, "arg": "cmVwbHk="}]
-    assert line.transport.disconnected
+    assert call_connection.transport.disconnected
     net.tell(event="IOREQ", cursor=None, handle=ref, arg="Y2FsbA==")
-    line.dataReceived(REPLY)  # a copy that comes late
+    call_connection.dataReceived(REPLY)  # a late duplicate
     assert net.commands() == [] and net.connect("127.0.1.2").transport.sent().startswith(b"POST")
 
 
-def test_a_call_broken_on_its_way_is_made_again_where_nothing_can_happen_twice() -> None:
-    for product, told in (("look", ["NOIO"]), ("book", [])):
+def test_broken_call_is_retried_only_for_inquiries() -> None:
+    for product, expected_events in (("look", ["NOIO"]), ("book", [])):
         net = booted(settings=ROOMY)
         caller = net.caller()
         ref = net.ask(caller, 1, product)
@@ -99,74 +97,78 @@
         net.tell(event="IOREQ", cursor=None, handle=ref, arg="Y2FsbA==")
         tries = 0
         while net.reactor.advance(0) or any(c[0] == "127.0.1.2" for c in net.reactor.tcpClients):
-            line, tries = net.connect("127.0.1.2"), tries + 1
-            assert line.transport.sent().startswith(b"POST")
-            line.dataReceived(b"\x16\x03noise" if tries == 1 else b"HTTP/1.1 200 OK\r\n" + b"a" * 9_000)
+            call_connection, tries = net.connect("127.0.1.2"), tries + 1
+            assert call_connection.transport.sent().startswith(b"POST")
+            call_connection.dataReceived(
+                b"\x16\x03noise" if tries == 1 else b"HTTP/1.1 200 OK\r\n" + b"a" * 9_000
+            )
             net.pass_time(0.01)
-        assert tries == (3 if told else 1)
-        assert [c["event"] for c in net.commands() if c["event"] in ("NOIO", "IODONE")] == told
+        assert tries == (3 if expected_events else 1)
+        assert [c["event"] for c in net.commands() if c["event"] in ("NOIO", "IODONE")] == expected_events
 
 
-def test_calls_beyond_the_bound_wait_and_an_old_address_is_not_insisted_on() -> None:
+def test_excess_calls_wait_and_move_to_new_address() -> None:
     net = booted()
     ledger = net.instance.ledger
     calls = [ledger.call(f"{n:016x}", 500_000, b"") for n in range(ledger.most + 2)]
-    told: list[End] = []
+    outcomes: list[End] = []
     for call in calls:
-        call.done.addCallback(lambda called: told.append(called.end))
+        call.done.addCallback(lambda called: outcomes.append(called.end))
     assert len(net.reactor.tcpClients) == ledger.connections == ledger.most
     first = net.connect("127.0.1.2")
     net.file |= MOVED
     net.instance.reload()
     first.dataReceived(REPLY)
     net.lose(first)
-    assert told == [End.OK] and net.reactor.tcpClients[-1][0] == "127.0.3.2"
+    assert outcomes == [End.OK] and net.reactor.tcpClients[-1][0] == "127.0.3.2"
     at = next(c for c in net.reactor.tcpClients if c[0] == "127.0.1.2")
     at[2].clientConnectionFailed(None, Failure(ConnectionRefusedError()))
-    assert told == [End.OK] and net.reactor.tcpClients[-1][0] == "127.0.3.2"
+    assert outcomes == [End.OK] and net.reactor.tcpClients[-1][0] == "127.0.3.2"
     net.pass_time(0.6)
-    assert told[1:] == [End.UNREACHED] * (ledger.most + 1)
+    assert outcomes[1:] == [End.UNREACHED] * (ledger.most + 1)
 
 
-def test_a_share_that_lapses_holds_calls_back_up_to_the_last_moment() -> None:
+def test_lapsed_share_stops_calls_before_they_are_sent() -> None:
     net = booted()
-    ledger, share, told = net.instance.ledger, [2], []
+    ledger, share, outcomes = net.instance.ledger, [2], []
     gate = ledger.gate = Gate(lambda: share[0], lambda: int(net.reactor.seconds() * 1e6), linger=200_000)
 
     def call() -> Any:
         made = ledger.call("0" * 16, 500_000, b"")
-        made.done.addCallback(lambda called: told.append(called.end))
+        made.done.addCallback(lambda called: outcomes.append(called.end))
         return made
 
     calls = [call() for _ in range(3)]
-    assert told == [End.FULL], "no room for a third: nothing was opened for it"
-    share[0] = 1  # while the connections were being opened
-    line = net.connect("127.0.1.2")
-    assert (line.transport.sent(), told[1:]) == (b"", [End.UNREACHED]), "never sent, and proved so"
-    net.lose(line)
+    assert outcomes == [End.FULL], "no room for a third: nothing was opened for it"
+    share[0] = 1  # changes while the connections are being opened
+    call_connection = net.connect("127.0.1.2")
+    assert (call_connection.transport.sent(), outcomes[1:]) == (b"", [End.UNREACHED]), (
+        "never sent, and proved so"
+    )
+    net.lose(call_connection)
     assert net.log.codes("ledger-end") == ["share-lapsed"]
-    line = net.connect("127.0.1.2")
-    assert line.transport.sent().startswith(b"POST")
+    call_connection = net.connect("127.0.1.2")
+    assert call_connection.transport.sent().startswith(b"POST")
     calls[0].abandon()
-    net.lose(line)
+    net.lose(call_connection)
     assert (gate.in_hand(), ledger.connections) == (1, 0), "left behind: the ledger may still work on it"
-    assert (call(), told[-1])[1] is End.FULL
+    assert (call(), outcomes[-1])[1] is End.FULL
     net.pass_time(0.2)
     call()
     assert (gate.in_hand(), ledger.connections) == (1, 1)
 
 
-def test_members_are_started_told_of_the_drain_and_stopped_and_their_share_reaches_the_brain() -> None:
+def test_peers_follow_the_instance_and_their_share_reaches_the_brain() -> None:
     class Members:
         gate = Gate(lambda: 3, lambda: 0, 0)
-        heard: ClassVar[list[str]] = []
+        called: ClassVar[list[str]] = []
         calls = 3
 
         def share(self) -> int:
             return self.calls
 
         def __getattr__(self, name: str) -> Any:
-            return lambda: self.heard.append(name)
+            return lambda: self.called.append(name)
 
     net, members = booted(), Members()
     instance = net.instance
@@ -176,12 +178,12 @@
     net.pass_time(0.2)
     assert instance.facade.brain.call_most == 1
     instance.start_drain()
-    assert members.heard == ["leave"]
+    assert members.called == ["leave"]
     net.pass_time(4.0)
-    assert members.heard == ["leave", "stop"]
+    assert members.called == ["leave", "stop"]
 
 
-def test_a_run_declined_in_the_hold_tells_when_to_come_back() -> None:
+def test_held_txn_that_is_declined_carries_retry_advice() -> None:
     net = booted()
     caller = net.caller()
     refs = [net.ask(caller, number) for number in range(1, 9)]
@@ -192,14 +194,14 @@
     assert all(0 <= e["data"].get("w", 0) <= 1_000 for e in declined)
 
 
-def test_a_link_lost_in_mid_run_is_taken_up_at_the_cursor() -> None:
+def test_lost_link_resumes_at_the_cursor() -> None:
     net = booted()
     caller = net.caller()
     first, second = net.ask(caller, 1), net.ask(caller, 2)
     net.commands()
     net.tell(event="DMESG", cursor=None, fate="hello")
     net.lose(net.link, clean=False)
-    third = net.ask(caller, 3, h=1.0)  # picked while no link stands, if it may run at all
+    third = net.ask(caller, 3, h=1.0)  # decided while there is no link, if it may run at all
     net.pass_time(0.1)
     again = [{"event": "REAP", "cursor": 2, "handle": first, "fate": "ok", "lasted": 5, "arg": "eA=="}]
     assert net.boot(again=again) == [{"event": "OPEN", "cursor": 1}]
@@ -208,12 +210,12 @@
     assert len(resent) == len(set(resent)) and {handle for _, handle in resent} <= {second, third}
     assert [a["id"] for a in net.answers(caller)] == [1]
     net.cursor = 2
-    net.tell(event="EINVAL", fate="IODONE", handle=second)  # carried out before the break
+    net.tell(event="EINVAL", fate="IODONE", handle=second)  # carried out before the link was lost
     net.tell(event="REAP", cursor=None, handle=second, fate="ok", lasted=5, arg="eQ==")
     assert [a["result"]["doc"] for a in net.answers(caller)] == ["eQ=="]
 
 
-def test_what_the_kernel_can_get_wrong_costs_no_other_txn() -> None:
+def test_invalid_kernel_lines_affect_no_other_txn() -> None:
     net = booted()
     caller = net.caller()
     ref = net.ask(caller, 1)
@@ -225,7 +227,7 @@
         b'{"event":"REAP","cursor":1,"handle":"%b","fate":"failed"}' % ref.encode(),
     ):
         net.link.dataReceived(line + b"\n")
-    assert net.answers(caller) == []  # a cursor already seen
+    assert net.answers(caller) == []  # the cursor was seen before
     assert net.log.codes("link-fault") == ["unreadable", "unreadable", "unknown-handle", "seen"]
     net.tell(event="EINVAL", fate="SCHED", handle=ref)
     assert error(net.answers(caller))["code"] not in (0, -32008)
@@ -233,7 +235,7 @@
     assert net.link.transport.disconnected
 
 
-def test_a_gap_in_the_notices_is_asked_for_once_more() -> None:
+def test_gap_in_notices_is_requested_again() -> None:
     net = booted()
     net.tell(event="DMESG", cursor=3, fate="")
     assert net.link.transport.disconnected and "gap" in net.log.codes("link-fault")
@@ -243,7 +245,7 @@
 
 
 @pytest.mark.parametrize("how", ["refused", "broken", "malformed", "late", "full"])
-def test_a_call_that_fails_goes_as_the_brain_wants(how: str) -> None:
+def test_inquiry_continues_without_its_failed_call(how: str) -> None:
     net = booted(settings=ROOMY)
     if how == "refused":
         caller, _ref = net.caller(), ""
@@ -252,28 +254,28 @@
         factory = net.reactor.tcpClients.pop()[2]
         factory.clientConnectionFailed(None, Failure(ConnectionRefusedError()))
     else:
-        caller, _ref, line = at_call(net)
+        caller, _ref, call_connection = at_call(net)
         if how == "broken":
-            line.dataReceived(REPLY[:30])
-            net.lose(line)
+            call_connection.dataReceived(REPLY[:30])
+            net.lose(call_connection)
             for _ in range(2):
                 net.lose(net.connect("127.0.1.2"))
         elif how == "malformed":
-            line.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 5x\r\n\r\nreply")
+            call_connection.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 5x\r\n\r\nreply")
             for _ in range(2):
                 net.connect("127.0.1.2").dataReceived(b"noise")
         elif how == "full":
-            line.dataReceived(b"HTTP/1.1 503 Busy\r\nOp-Not-Begun: 1\r\nContent-Length: 0\r\n\r\n")
+            call_connection.dataReceived(b"HTTP/1.1 503 Busy\r\nOp-Not-Begun: 1\r\nContent-Length: 0\r\n\r\n")
         else:
             net.pass_time(1.1)
-            assert line.transport.disconnected
-            line.dataReceived(REPLY)  # too late to be anybody's
-    # An inquiry-like txn with a value without the call goes on without it once a call failed.
+            assert call_connection.transport.disconnected
+            call_connection.dataReceived(REPLY)  # too late to belong to a call
+    # An inquiry-like txn that has a value without its call continues without it once the call has failed.
     assert [c["event"] for c in net.commands() if c["event"] in ("NOIO", "IODONE")] == ["NOIO"]
     assert net.instance.ledger.connections <= 3
 
 
-def test_a_ledger_that_refuses_at_once_is_not_asked_without_end() -> None:
+def test_refusing_ledger_is_retried_at_a_bounded_rate() -> None:
     net = booted()
     caller = net.caller()
     net.tell(event="IOREQ", cursor=None, handle=net.ask(caller, 1, "book", k="a"), arg="")
@@ -288,7 +290,7 @@
     assert 4 <= tried <= 11
 
 
-def test_a_run_that_ends_while_it_waits_for_a_call_is_answered_at_once() -> None:
+def test_run_that_ends_while_waiting_for_a_call_is_answered_at_once() -> None:
     net = booted()
     caller = net.caller()
     ref = net.ask(caller, 1, "book", k="a")
@@ -299,7 +301,7 @@
     assert error(net.answers(caller))["message"] == "run failed" and not net.instance.jobs
 
 
-def test_half_a_message_does_not_hold_a_place_for_ever() -> None:
+def test_partial_message_times_out() -> None:
     net = booted()
     stranger, silent, usual = net.caller(), net.caller(), net.caller()
     ref = net.ask(usual, 1)
@@ -312,7 +314,7 @@
     assert [caller.end_code for caller in (stranger, silent, usual)] == ["silent", "silent", "half-message"]
 
 
-def test_a_crowd_that_says_nothing_takes_no_usual_caller_s_place() -> None:
+def test_silent_connections_do_not_displace_active_callers() -> None:
     net = booted()
     callers = net.instance.callers
     usual = net.caller()
@@ -336,7 +338,7 @@
     assert len(callers.connections) <= callers.max_connections and late in callers.connections
 
 
-def test_one_that_asks_for_what_can_t_be_served_again_and_again_is_done_with() -> None:
+def test_connection_with_too_many_errors_is_closed() -> None:
     net = booted()
     wrong = net.caller()
     net.ask(wrong, 1)
@@ -345,7 +347,7 @@
         net.ask(wrong, number, "unheard-of")
     net.pass_time(0.05)
     assert len(net.answers(wrong)) == MAX_ERROR_SCORE // 2 and not wrong.transport.disconnecting
-    net.pass_time(3.2)  # what was read before is answered, then it ends
+    net.pass_time(3.2)  # open txns are answered before it is closed
     assert wrong.transport.disconnecting and wrong.end_code == "nothing-served"
     usual, wavering = net.caller(), net.caller()
     for number in range(1, 100):
@@ -361,7 +363,7 @@
     assert usual.end_code == "" and number == MAX_ERROR_SCORE
 
 
-def test_a_flood_on_one_connection_leaves_others_their_turn() -> None:
+def test_flood_on_one_connection_does_not_starve_others() -> None:
     net = booted()
     flood = net.caller()
     one = encode_frame(orjson.dumps({"jsonrpc": "2.0", "id": 1, "method": "heartbeat"}))
@@ -380,16 +382,16 @@
 
 
 @pytest.mark.parametrize("params", [{"id": 1}, {"i": "REF"}])
-def test_a_run_over_before_its_call_gives_the_call_up(params: dict[str, Any]) -> None:
+def test_call_is_abandoned_when_its_run_ends(params: dict[str, Any]) -> None:
     net = booted()
-    caller, ref, line = at_call(net)
+    caller, ref, call_connection = at_call(net)
     net.send(caller, jsonrpc="2.0", method="revoke", params=params if "id" in params else {"i": ref})
     net.tell(event="REAP", cursor=None, handle=ref, fate="halted", lasted=5)
     net.reactor.advance(0)
-    assert line.transport.disconnected and net.answers(caller) == [] and not net.instance.jobs
+    assert call_connection.transport.disconnected and net.answers(caller) == [] and not net.instance.jobs
 
 
-def test_drain_says_farewell_answers_all_and_ends() -> None:
+def test_drain_sends_farewells_answers_all_and_exits() -> None:
     net = booted()
     stopped: list[bool] = []
     net.reactor.stop = lambda: stopped.append(True)  # type: ignore[method-assign]
@@ -400,7 +402,7 @@
     net.instance.start_drain()
     net.instance.start_drain()
     assert net.log.codes("drain") == ["begun", "again"] and net.reactor.reports.pop() == b"HERE n1 off"
-    early = net.caller()  # it has not heard yet, and what comes within the grace still runs
+    early = net.caller()  # not told of the drain yet; requests within the grace period still run
     soon = net.ask(early, 1)
     net.pass_time(0.1)
     assert [c["handle"] for c in net.commands()] == [ref, soon] and net.answers(idle) == []
@@ -410,7 +412,7 @@
     assert [m.get("method") for c in (idle, busy, early) for m in net.answers(c)] == ["farewell"] * 3
     net.lose(idle)
     net.lose(early)
-    crossing = net.ask(busy, 2)  # on its way when the farewell was said
+    crossing = net.ask(busy, 2)  # sent before the farewell arrived
     assert [c["handle"] for c in net.commands()] == [crossing]
     net.pass_time(1.0)
     late = net.caller()
@@ -423,7 +425,7 @@
     assert net.reactor.reports[-1] == b"HERE n1 on" and net.log.codes("drain")[-1] == "time-up"
 
 
-def test_a_drained_instance_ends_as_soon_as_all_have_gone() -> None:
+def test_drained_instance_exits_once_all_connections_are_closed() -> None:
     net = booted()
     stopped: list[bool] = []
     net.reactor.stop = lambda: stopped.append(True)  # type: ignore[method-assign]
@@ -437,7 +439,7 @@
     assert net.log.codes("connection-end") == ["farewell"]
 
 
-def test_a_peer_that_does_not_read_is_bounded_and_costs_itself_alone() -> None:
+def test_output_to_peer_that_does_not_read_is_bounded() -> None:
     net = booted()
     caller, other = net.caller(), net.caller()
     caller.pauseProducing()
@@ -454,7 +456,7 @@
     assert net.answers(other)[0]["result"]["ready"] is True
 
 
-def test_bad_messages_are_answered_and_bad_frames_end_their_connection() -> None:
+def test_invalid_messages_are_answered_and_invalid_frames_close_the_connection() -> None:
     net = booted()
     caller, other = net.caller(), net.caller()
     for body, code in (
@@ -486,7 +488,7 @@
     [answer] = net.answers(caller)
     assert answer["id"] is None and answer["error"]["code"] == -32600
     caller.dataReceived(b"x" * MAX_HEADER_BYTES)
-    assert not caller.transport.disconnecting  # txn 20 was read before, and is owed its answer
+    assert not caller.transport.disconnecting  # txn 20 was read before and is still answered
     net.tell(event="REAP", cursor=None, handle=net.commands()[0]["handle"], fate="ok", lasted=5, arg="eA==")
     assert net.answers(caller)[0]["id"] == 20 and caller.transport.disconnecting
     net.lose(caller)
@@ -496,7 +498,7 @@
     assert net.answers(other)[0]["result"]["doc"] == "eA=="
 
 
-def test_no_more_than_so_many_are_open_on_a_connection() -> None:
+def test_open_txns_per_connection_are_bounded() -> None:
     net = booted()
     caller = net.caller()
     for number in range(1, MAX_OPEN_TXNS + 2):
@@ -505,7 +507,7 @@
     assert [a["id"] for a in answers if "more than" in a["error"]["message"]] == [MAX_OPEN_TXNS + 1]
 
 
-def test_a_defect_in_one_txns_path_answers_that_txn_alone() -> None:
+def test_exception_in_one_txn_fails_only_that_txn() -> None:
     net = booted()
     caller = net.caller()
     start = net.instance.kernel.start
@@ -514,7 +516,7 @@
     assert error(net.answers(caller))["code"] not in (0, -32008)
     assert net.log.codes("txn-fault") == ["exception"]
     net.instance.kernel.start = start  # type: ignore[method-assign]
-    net.tell(event="REAP", cursor=None, handle=ref, fate="void")  # nothing is left of it
+    net.tell(event="REAP", cursor=None, handle=ref, fate="void")  # the kernel no longer knows the run
     net.reactor.advance(0)
     assert not net.instance.facade.open
     ref = net.ask(caller, 2)
@@ -522,7 +524,7 @@
     assert net.answers(caller)[0]["id"] == 2
 
 
-def test_a_defect_in_the_brain_ends_neither_the_instance_nor_other_txns() -> None:
+def test_exception_in_the_brain_ends_neither_the_instance_nor_other_txns() -> None:
     net = booted()
     caller, other = net.caller(), net.caller()
     net.ask(caller, 1)
@@ -539,7 +541,7 @@
     assert [c["event"] for c in net.commands()] == ["SCHED", "SCHED"]
 
 
-def test_what_a_defect_kept_from_being_decided_is_decided_soon_with_no_other_event() -> None:
+def test_decision_prevented_by_an_exception_is_made_soon_after() -> None:
     net = booted()
     brain = net.instance.facade.brain
     broken, brain._run_held = brain._run_held, lambda: iter([1 / 0])  # type: ignore[assignment, method-assign]
@@ -550,7 +552,7 @@
     assert [c["event"] for c in net.commands()] == ["SCHED"]
 
 
-def test_a_repeat_gets_the_kept_result_of_the_one_run() -> None:
+def test_repeat_gets_the_stored_result() -> None:
     net = booted()
     caller = net.caller()
     first = net.ask(caller, 1, "book", k="acct-1")
@@ -561,19 +563,19 @@
     assert [a["result"]["doc"] for a in net.answers(caller)] == ["eA=="] * 3 and net.commands() == []
 
 
-def test_unix_time_that_steps_loses_and_delays_nothing() -> None:
+def test_step_of_unix_time_loses_and_delays_no_txn() -> None:
     net = booted()
     caller = net.caller()
-    told = int(net.unix * 1_000)
+    sent_at_ms = int(net.unix * 1_000)
     net.unix -= 7.0
-    net.ask(caller, 1, s=told, d=2_000)
+    net.ask(caller, 1, s=sent_at_ms, d=2_000)
     entry = next(iter(net.instance.facade.open.values()))
     assert 1_900_000 <= entry.txn.due - net.instance.facade.now() <= 2_000_000
     net.pass_time(2.1)
     assert len(net.answers(caller)) == 1
 
 
-def test_after_a_pause_of_the_machine_the_brain_answers_and_not_the_guard() -> None:
+def test_after_a_pause_the_brain_answers_before_the_overdue_check() -> None:
     net = booted()
     caller = net.caller()
     for number in range(1, 6):
@@ -584,7 +586,7 @@
     assert not net.log.codes("overdue") and not net.instance.facade.owed()
 
 
-def test_a_txn_that_the_brain_forgets_is_answered_by_the_guard() -> None:
+def test_txn_lost_by_the_brain_is_answered_by_the_overdue_check() -> None:
     net = booted()
     caller = net.caller()
     net.ask(caller, 1)
@@ -593,7 +595,7 @@
     assert error(net.answers(caller))["message"] == "overdue" and net.log.codes("overdue") == ["guard"]
 
 
-def test_the_kernel_may_come_late_and_the_ledger_never() -> None:
+def test_instance_is_ready_only_with_its_kernel_and_needs_no_ledger() -> None:
     net = Net()
     caller = net.caller()
     net.send(caller, jsonrpc="2.0", id=1, method="heartbeat")
@@ -607,7 +609,7 @@
     net.pass_time(0.6)
     assert net.answers(caller)[0]["result"]["ready"] is True and net.reactor.reports
     net.reactor.reports.clear()
-    net.lose(net.link, clean=False)  # and not come back
+    net.lose(net.link, clean=False)  # and not restored
     net.pass_time(2.0)
     net.reactor.reports.clear()
     net.send(caller, jsonrpc="2.0", id=3, method="heartbeat")
@@ -615,7 +617,7 @@
     assert net.answers(caller)[0]["result"]["ready"] is False and not net.reactor.reports
 
 
-def test_a_deep_check_asks_whether_work_gets_done_where_nothing_shows_it() -> None:
+def test_deep_check_probes_the_kernel_unless_a_run_succeeded() -> None:
     net = booted()
     caller = net.caller()
     net.send(caller, jsonrpc="2.0", id=1, method="heartbeat", params={"x": True})
@@ -631,7 +633,7 @@
     assert net.answers(caller)[0]["result"]["ready"] is True and net.commands() == []
 
 
-def test_connections_past_the_bound_are_turned_away_and_old_ones_stay() -> None:
+def test_connections_above_the_limit_are_rejected() -> None:
     net = booted(limits={"sockets": 128})
     callers = [net.caller() for _ in range(net.instance.callers.max_connections)]
     rejected = net.caller()
@@ -640,7 +642,7 @@
     assert net.log.codes("connection-end") == ["full"] and not any(c.transport.disconnected for c in callers)
 
 
-def test_bodies_in_hand_are_bounded() -> None:
+def test_memory_of_open_txns_is_bounded() -> None:
     net = booted()
     net.instance.callers.max_held_bytes = 5_000
     caller = net.caller()
@@ -649,7 +651,7 @@
     assert [(a["id"], a["error"]["code"]) for a in net.answers(caller)] == [(2, -32008)]
 
 
-def test_idle_connections_get_a_farewell_first() -> None:
+def test_idle_connections_get_a_farewell_before_the_close() -> None:
     net = booted()
     caller = net.caller()
     net.instance.facade.idle_limit = 500_000
@@ -658,10 +660,10 @@
     net.pass_time(1.2)
     assert caller.transport.disconnecting
     net.pass_time(1.2)
-    assert caller.transport.disconnected  # it does not read, or it would be closed by now
+    assert caller.transport.disconnected  # aborted, as it does not close its end
 
 
-def test_the_log_is_one_bounded_json_line_an_event() -> None:
+def test_log_has_one_json_line_per_event_and_is_bounded() -> None:
     out, sink = os.pipe()
     now = [0.0]
     log = Log("n1", sink, lambda: now[0])
@@ -679,7 +681,7 @@
         "of": "link-fault",
         "lines": 2 * MOST,
     }
-    while not log.dropped:  # nobody reads: it neither blocks nor raises
+    while not log.dropped:  # a full pipe must neither block nor raise
         log.event(f"more-{now[0]}", "code", text="x" * 1_000)
         now[0] += 1
     os.close(out)
@@ -695,7 +697,7 @@
     return found
 
 
-def test_the_net_knows_nothing_of_the_brain() -> None:
+def test_net_does_not_import_the_brain() -> None:
     for path in (ROOT / "net").glob("*.py"):
         assert not {
             name
@@ -711,17 +713,17 @@
 MOVED = {"kernel": "127.0.3.1:7301", "records": "127.0.3.2:8901", "roster": "127.0.3.3:7947"}
 
 
-def test_new_addresses_are_taken_up_and_runs_go_on() -> None:
+def test_reload_applies_new_addresses_and_runs_continue() -> None:
     net = booted()
-    caller, ref, line = at_call(net)
+    caller, ref, call_connection = at_call(net)
     old, net.cursor = net.link, 1
     net.file |= MOVED | {"listen": "127.0.0.1:9999"}
     net.instance.reload()
     assert net.log.lines[-1]["moved"] == ["kernel", "ledger", "node_list"]
     assert net.log.lines[-1]["needs_restart"] == ["listen"]
     assert net.reactor.reported_to == ("127.0.3.3", 7947)
-    net.tell(event="DMESG", cursor=None, fate="")  # the old link is read until the new one stands
-    line.dataReceived(REPLY)  # and a call that is out ends where it is
+    net.tell(event="DMESG", cursor=None, fate="")  # the old link is read until the new one is connected
+    call_connection.dataReceived(REPLY)  # a call in flight ends on its old connection
     net.link = net.connect("127.0.3.1")
     assert [c["cursor"] for c in net.commands()] == [2] and old.transport.disconnecting
     net.lose(old)
@@ -729,7 +731,7 @@
     assert net.instance.kernel.link is net.link and net.instance.kernel.cursor == 2
     net.tell(event="BOOTED", fate="warm", lasted=60_000)
     net.tell(event="INFO", ticket="fence", figures=[0, 0, 0, 0])
-    assert net.commands() == [{"event": "NOIO", "handle": ref, "cursor": 1}]  # the reply names no call
+    assert net.commands() == [{"event": "NOIO", "handle": ref, "cursor": 1}]  # replies are not sent again
     net.tell(event="IOREQ", cursor=None, handle=ref, arg="Y2FsbA==")
     assert net.connect("127.0.3.2").transport.sent().startswith(b"POST")
     net.tell(event="REAP", cursor=None, handle=ref, fate="ok", lasted=30, arg="ZG9uZQ==")
@@ -738,7 +740,7 @@
     assert not [c for c in net.reactor.tcpClients if c[0] == "127.0.1.1"]
 
 
-def test_a_file_that_can_t_be_used_changes_nothing_and_is_read_again() -> None:
+def test_unusable_configuration_changes_nothing_and_is_read_again() -> None:
     net = booted()
     good, net.file = net.file | MOVED, net.file | {"records": "nowhere"}
     net.instance.reload()
@@ -753,7 +755,7 @@
     assert net.log.codes("reload").count("unusable") == 8
 
 
-def test_a_try_to_link_that_an_address_has_outrun_comes_to_nothing() -> None:
+def test_connection_attempt_to_an_outdated_kernel_address_is_dropped() -> None:
     net = Net()
     net.file |= MOVED
     net.instance.reload()
@@ -765,7 +767,7 @@
     assert net.instance.kernel.link is not None and not net.reactor.tcpClients
 
 
-def test_a_short_break_of_the_link_is_no_ill_health() -> None:
+def test_short_loss_of_the_link_keeps_the_instance_healthy() -> None:
     net = booted()
     net.lose(net.link, clean=False)
     caller = net.caller()
@@ -779,8 +781,8 @@
     assert not net.reactor.reports
 
 
-def test_a_notice_of_new_configuration_does_not_end_a_process_that_is_starting(tmp_path: Path) -> None:
-    """The real process: SIGHUP from its first statement on; its configuration is a pipe, so it waits."""
+def test_sighup_does_not_end_a_starting_process(tmp_path: Path) -> None:
+    """SIGHUP to a real process that waits for its configuration, which is a named pipe."""
     os.mkfifo(tmp_path / "config")
     child = subprocess.Popen(
         [sys.executable, "-m", "limeridge"],
@@ -790,17 +792,17 @@
     )
     config, until = -1, time.monotonic() + 20
     while config < 0 and child.poll() is None and time.monotonic() < until:
-        with suppress(OSError):  # nobody reads yet
+        with suppress(OSError):  # the process has not opened it yet
             config = os.open(tmp_path / "config", os.O_WRONLY | os.O_NONBLOCK)
         time.sleep(0.01)
     child.send_signal(signal.SIGHUP)
     os.write(config, b"{}")
     os.close(config)
-    _, told = child.communicate(timeout=20)
-    assert child.returncode == 2 and b"seed" in told
+    _, stderr = child.communicate(timeout=20)
+    assert child.returncode == 2 and b"seed" in stderr
 
 
-def test_the_brain_is_asked_once_for_all_that_a_turn_of_the_loop_reads() -> None:
+def test_brain_decides_once_per_event_loop_iteration() -> None:
     net = booted(settings=ROOMY)
     brain, passes = net.instance.facade.brain, []
     decisions = brain._decisions
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -353,13 +353,13 @@
                 self.caller = CallerEnd(socket.create_connection((host, int(port)), timeout=MOST))
             except OSError:
                 return False
-            self.caller.check()
+            self.caller.send_heartbeat()
         answers = self.caller.answers_by_id()
         if self.caller.next_id in answers:
             if answers[self.caller.next_id]["result"]["ready"]:
                 self.ready_at = time.monotonic()
                 return True
-            self.caller.check()
+            self.caller.send_heartbeat()
         return False
 
     def work(self) -> None:
--- a/tests/test_unread.py
+++ b/tests/test_unread.py
@@ -1,17 +1,17 @@
-"""No connection is cut for its silence while what it sent lies unread in the socket.
+"""No connection is closed for inactivity while a request is unread in its socket.
 
-What happens: a request on an accepted connection gets a reset in place of its answer. In a crowd that
-connects anew round the notice to leave, beside nine other processes, 146 requests on 78 connections were
-lost in one run and 52 on 27 in another; alone, none.
+Failure: a request on an accepted connection is answered by a reset. With many callers reconnecting around the
+drain signal, beside nine other processes, 146 requests on 78 connections were lost in one run and 52 on 27 in
+another; none when run alone.
 
-Why: a connection that had sent nothing whole for SETTLE (50 ms) by the clock, or was bidden farewell that
-long ago, could lose its place to a newcomer. Where one turn of the event loop took longer than that, nobody
-had looked at its socket meanwhile. The same held for all that the sweep closes by the clock, and for a table
-full of connections whose callers had closed them, unread as well.
+Cause: a connection that had sent no complete message for DISPLACEMENT_GRACE_S (50 ms), or had been sent a
+farewell that long ago, could be displaced by a new one. If one iteration of the event loop took longer than
+that, nothing had read its socket in the meantime. The same applied to all closes by timeout in the sweep, and
+to a full table of connections whose callers had closed them, which had not been read either.
 
-What showed it: ten lives at once on six cores, before the mend: 132 callers saw a reset and 227 requests
-were lost, and the log had a `connection-end` `displaced` for each of those resets (24 of 24, 37 of 37, 9 of
-9; it tells 50 of a code in a second at most), all with `asked` 0: their first request lay unread.
+Evidence: ten instances at once on six cores, before the fix: 132 callers saw a reset and 227 requests were
+lost. The log had a `connection-end` `displaced` for each of these resets (24 of 24, 37 of 37, 9 of 9; it has
+at most 50 lines of a code per second), all with `asked` 0: the first request was unread.
 """
 
 import select
@@ -32,7 +32,7 @@
 
 
 class SlowTurn:
-    """The clock of the callers' side, put forward as by a turn of the loop that takes long."""
+    """The clock of the callers' server, set forward as by a long iteration of the event loop."""
 
     def __init__(self, clock: Any) -> None:
         self.clock, self.ahead = clock, 0.0
@@ -45,12 +45,12 @@
 
 
 def accept(s: SteppedInstance) -> None:
-    """What stands in the backlog is taken, and nothing else is read."""
+    """Accepts the connections in the backlog, and reads nothing else."""
     s.instance.listening_port.doRead()
 
 
 def all_answered(s: SteppedInstance, asked: dict[str, CallerEnd]) -> None:
-    """Each request runs and gets its result, on the connection on which it came."""
+    """Each request runs, and its result arrives on its own connection."""
     done: set[str] = set()
 
     def answered() -> bool:
@@ -58,9 +58,9 @@
             if command["handle"] not in done:
                 done.add(command["handle"])
                 s.kernel.finish_run(command["handle"])
-        for far in asked.values():
-            assert far.read_available().end != "reset", "a request was lost"
-        return all(far.answers_by_id().get(far.next_id) for far in asked.values())
+        for remote in asked.values():
+            assert remote.read_available().end != "reset", "a request was lost"
+        return all(remote.answers_by_id().get(remote.next_id) for remote in asked.values())
 
     s.wait_until("all answers", answered)
 
@@ -71,7 +71,7 @@
     return made
 
 
-def test_a_newcomer_takes_no_place_of_one_whose_request_lies_unread() -> None:
+def test_connection_with_unread_request_is_not_displaced() -> None:
     with stepped(limits={"sockets": 96}) as s:
         clock, callers = slow(s), s.instance.callers
         asked = {}
@@ -79,19 +79,19 @@
             len(callers.awaiting_first_request) * AWAITING_REQUEST_DIVISOR
             < callers.max_connections + AWAITING_REQUEST_DIVISOR
         ):
-            far = s.connect()
-            asked[far.send_request()] = far
+            remote = s.connect()
+            asked[remote.send_request()] = remote
             accept(s)
-        clock.ahead += 2 * DISPLACEMENT_GRACE_S  # the same turn of the loop goes on
+        clock.ahead += 2 * DISPLACEMENT_GRACE_S  # within the same iteration of the event loop
         for _ in range(8):
-            far = s.connect()
-            asked[far.send_request()] = far
+            remote = s.connect()
+            asked[remote.send_request()] = remote
             accept(s)
         all_answered(s, asked)
         assert not s.log.codes("connection-end")
 
 
-def test_one_that_says_nothing_still_gives_its_place_to_a_newcomer() -> None:
+def test_silent_connection_is_displaced() -> None:
     with stepped(limits={"sockets": 96}) as s:
         clock, callers = slow(s), s.instance.callers
         silent = [s.connect() for _ in range(callers.max_connections // AWAITING_REQUEST_DIVISOR + 1)]
@@ -101,88 +101,90 @@
         accept(s)
         all_answered(s, {newcomer.send_request(): newcomer})
         assert s.log.codes("connection-end") == ["displaced"]
-        assert [far.read_available().end for far in silent].count("reset") == 1
+        assert [remote.read_available().end for remote in silent].count("reset") == 1
 
 
-def test_one_that_was_bidden_farewell_is_not_cut_over_its_request() -> None:
+def test_connection_with_farewell_is_not_aborted_over_unread_request() -> None:
     with stepped(limits={"sockets": 64}) as s:
         clock, callers = slow(s), s.instance.callers
         resting = []
         while (
             len(callers.connections) < callers.max_connections - callers.max_connections // DISPLACED_DIVISOR
         ):
-            far, _ = s.connect_accepted()
-            s.serve_request(far)
-            resting.append(far)
+            remote, _ = s.connect_accepted()
+            s.serve_request(remote)
+            resting.append(remote)
         clock.ahead += 2 * DISPLACEMENT_GRACE_S
         asked = {}
-        while len(callers.connections) < callers.max_connections:  # each bids farewell to one
-            far = s.connect()
-            asked[far.send_request()] = far
+        while (
+            len(callers.connections) < callers.max_connections
+        ):  # each causes a farewell to one idle connection
+            remote = s.connect()
+            asked[remote.send_request()] = remote
             accept(s)
-        for far in resting:  # none has read its farewell yet
-            asked[far.send_request()] = far
+        for remote in resting:  # the farewells are still unread
+            asked[remote.send_request()] = remote
         clock.ahead += 2 * DISPLACEMENT_GRACE_S
         s.connect()
         accept(s)
         all_answered(s, asked)
 
 
-def test_a_table_full_of_connections_that_their_callers_closed_takes_newcomers() -> None:
+def test_connections_closed_by_their_callers_free_their_slots() -> None:
     with stepped(limits={"sockets": 96}) as s:
         callers = s.instance.callers
         served = []
         while len(callers.connections) < callers.max_connections:
-            far, _ = s.connect_accepted()
-            s.serve_request(far)
-            served.append(far)
-        for far in served:
-            far.close()
+            remote, _ = s.connect_accepted()
+            s.serve_request(remote)
+            served.append(remote)
+        for remote in served:
+            remote.close()
         asked = {}
         for _ in range(callers.max_connections // 2):
-            far = s.connect()
-            asked[far.send_request()] = far
-        accept(s)  # all in one turn; the ends of the others lie unread
+            remote = s.connect()
+            asked[remote.send_request()] = remote
+        accept(s)  # in one iteration; the closes of the others are unread
         all_answered(s, asked)
         assert "full" not in s.log.codes("connection-end")
 
 
 @pytest.mark.parametrize("state", ["silent", "half-message", "farewell"])
-def test_the_sweep_looks_at_a_socket_before_it_closes_for_silence(state: str) -> None:
-    """After a turn, or a stop of the process, that took longer than the bound."""
+def test_sweep_reads_socket_before_closing_for_inactivity(state: str) -> None:
+    """After a long iteration, or a pause of the process, that exceeds the timeout."""
     with stepped() as s:
         clock = slow(s)
-        far, ours = s.connect_accepted()
+        remote, connection = s.connect_accepted()
         if state != "silent":
-            s.serve_request(far)
+            s.serve_request(remote)
         if state == "farewell":
-            ours.send_farewell()
-        message, ref = far.encode_request()
+            connection.send_farewell()
+        message, ref = remote.encode_request()
         if state == "half-message":
-            far.write(message[:20])
-            s.wait_until("the first half", lambda: ours.frames.has_partial_frame)
+            remote.write(message[:20])
+            s.wait_until("the first half", lambda: connection.frames.has_partial_frame)
             message = message[20:]
-        far.write(message)
-        assert select.select([ours.transport.socket], [], [], MOST)[0], "it has not arrived"
+        remote.write(message)
+        assert select.select([connection.transport.socket], [], [], MOST)[0], "it has not arrived"
         clock.ahead += max(MESSAGE_TIMEOUT_S, CLOSE_TIMEOUT_S) + 0.1
         s.instance.callers.sweep()
-        all_answered(s, {ref: far})
+        all_answered(s, {ref: remote})
 
 
-def test_nobody_connects_between_the_last_look_at_the_backlog_and_the_close_of_the_door() -> None:
-    """What happens: a crowd connects anew as the door is shut; a connection is made, its request written, and
-    reset in the same millisecond. Why: the system takes connections for a listening socket up to its close,
-    and resets those that nobody accepted. What showed it: the soak, seed 3: a reset 0.000 s after 2 requests
-    were sent, 0.251 s after the notice; the door shuts at 0.249 s."""
+def test_no_connection_is_accepted_between_last_accept_and_close() -> None:
+    """Failure: with many callers reconnecting as the listening socket is closed, a connection was made, its
+    request written, and reset within a millisecond. Cause: the system accepts connections until the listening
+    socket is closed, and then resets those that the process has not accepted. Evidence: soak seed 3 had a
+    reset 0.000 s after 2 requests were sent, 0.251 s after the signal; the socket is closed at 0.249 s."""
     with stepped() as s:
         port, late = s.instance.listening_port, []
         close = port.connectionLost
 
         def connect_first(why: Any) -> None:
-            far = socket.socket()
-            far.setblocking(False)
-            far.connect_ex(port.socket.getsockname())
-            late.append((far, bool(select.select([], [far], [], 0.2)[1])))
+            remote = socket.socket()
+            remote.setblocking(False)
+            remote.connect_ex(port.socket.getsockname())
+            late.append((remote, bool(select.select([], [remote], [], 0.2)[1])))
             close(why)
 
         port.connectionLost = connect_first
@@ -190,8 +192,8 @@
         asked = {before.send_request(): before}
         s.instance.start_drain()
         s.instance.stop_accepting()
-        [(far, connected)] = late
-        far.close()
+        [(remote, connected)] = late
+        remote.close()
         assert not connected, "it stands, and is reset with what it writes"
         all_answered(s, asked)
         with pytest.raises(OSError, match="refused"):
