--- a/limeridge/net/callers.py
+++ b/limeridge/net/callers.py
@@ -134,7 +134,7 @@
     customer: int
     caller: int
     sent_at_ms: int  # Unix milliseconds
-    timeout_ms: float  # counted from sent_at_ms
+    timeout_ms: float  # after sent_at_ms
     resent: bool
     expected_work_ms: float
     size_kb: float
--- a/limeridge/net/service.py
+++ b/limeridge/net/service.py
@@ -56,7 +56,7 @@
 LISTEN_RETRY_S, MAX_LISTEN_RETRIES = 0.05, 100
 LISTEN_FAILURES_PER_LOG_LINE = 20  # while another process holds the address
 # Descriptors that are for neither callers nor calls: standard streams, event loop, port, links, reports.
-RESERVED_DESCRIPTORS = 12
+PROCESS_DESCRIPTORS = 12
 CLOSE_STREAMS_BEFORE_KILL_S = 0.15  # when the remaining connections are closed in order
 EXIT_BEFORE_KILL_S = 0.08  # when the process exits, whatever is still open
 QUIET_PERIOD_S = 0.15  # a drained instance exits after this time without connections and open txns
@@ -100,11 +100,11 @@
     def deliver(self, news: News) -> bool:
         """Passes the event to the handler; False if it is queued because the handler waits for something
         else."""
-        handler_waiting, self.waiting_handler = self.waiting_handler, None
-        if handler_waiting is None:
+        waiting_handler, self.waiting_handler = self.waiting_handler, None
+        if waiting_handler is None:
             self.events.append(news)
             return False
-        handler_waiting.callback(news)
+        waiting_handler.callback(news)
         return True
 
 
@@ -125,7 +125,7 @@
         self.draining, self.stopped_accepting = False, False
         self.signalled_at: float | None = None  # the first SIGTERM or SIGINT
         self.kill_at = 0.0
-        self.streams_closed = False  # and no new ones can be opened
+        self.streams_closed = False  # all of them, and no new ones can be opened
         self.quiet_since: float | None = None
         self.ended = False
         self.jobs: dict[str, Job] = {}
@@ -148,7 +148,7 @@
             reactor,
             log,
             max_connections=setup.sockets - max_ledger_calls - reserved,
-            max_aborts_per_iteration=max(1, reserved - RESERVED_DESCRIPTORS),
+            max_aborts_per_iteration=max(1, reserved - PROCESS_DESCRIPTORS),
             max_held_bytes=memory_bytes // 8,
             max_unread_bytes=memory_bytes // 8,
             unix=unix,
@@ -561,12 +561,12 @@
             else replace(setup, sockets=min(hard_limit, setup.sockets))
         )
 
-    def read_granted_setup(before: Setup, now: int) -> Steps[Setup]:
+    def read_capped_setup(before: Setup, now: int) -> Steps[Setup]:
         return cap_sockets((yield from read_setup(before, now)))
 
     setup = cap_sockets(setup)
     resource.setrlimit(resource.RLIMIT_NOFILE, (setup.sockets, hard_limit))
-    instance = Instance(setup, reactor, log, read_granted_setup)
+    instance = Instance(setup, reactor, log, read_capped_setup)
     if peers is not None:
         instance.attach_peers(peers(setup, reactor, log))
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -25,9 +25,9 @@
 
 
 def bound_socket(socket_type: int = socket.SOCK_STREAM) -> socket.socket:
-    made = socket.socket(socket.AF_INET, socket_type)
-    made.bind(("127.0.0.1", 0))
-    return made
+    sock = socket.socket(socket.AF_INET, socket_type)
+    sock.bind(("127.0.0.1", 0))
+    return sock
 
 
 def free_address() -> str:
@@ -36,22 +36,22 @@
     then wait for it, as for one that a predecessor still holds."""
     number = os.getpid()
     host = f"127.{64 + (number >> 16) % 64}.{number >> 8 & 255}.{number & 255 or 255}"
-    with socket.socket() as made:
-        made.bind((host, 0))
-        return address(made)
+    with socket.socket() as sock:
+        sock.bind((host, 0))
+        return address(sock)
 
 
-def address(of: socket.socket) -> str:
-    host, port = of.getsockname()[:2]
+def address(bound: socket.socket) -> str:
+    host, port = bound.getsockname()[:2]
     return f"{host}:{port}"
 
 
 class RemoteEnd:
     """The remote end of a connection; reads what has arrived, and records how the stream ended."""
 
-    def __init__(self, made: socket.socket) -> None:
-        self.socket = made
-        made.setblocking(False)
+    def __init__(self, sock: socket.socket) -> None:
+        self.socket = sock
+        sock.setblocking(False)
         self.data = b""
         self.end = ""  # "end" or "reset" once the stream has ended
 
@@ -84,8 +84,8 @@
 
 
 class CallerEnd(RemoteEnd):
-    def __init__(self, made: socket.socket) -> None:
-        super().__init__(made)
+    def __init__(self, sock: socket.socket) -> None:
+        super().__init__(sock)
         self.frames = FrameParser()
         self.received: list[dict[str, Any]] = []
         self.next_id = 0
@@ -103,13 +103,13 @@
     def received_farewell(self) -> bool:
         return any(each.get("method") == "farewell" for each in self.messages())
 
-    def send_request(self, method: str = "look", **more: Any) -> str:
+    def send_request(self, method: str = "look", **overrides: Any) -> str:
         """Sends a request in one write; returns its ref."""
-        data, ref = self.encode_request(method, **more)
+        data, ref = self.encode_request(method, **overrides)
         self.write(data)
         return ref
 
-    def encode_request(self, method: str = "look", **more: Any) -> tuple[bytes, str]:
+    def encode_request(self, method: str = "look", **overrides: Any) -> tuple[bytes, str]:
         self.next_id += 1
         ref = f"{self.socket.fileno():04x}{id(self) % 0xFFFF:04x}{self.next_id:08x}"
         params = {
@@ -121,7 +121,7 @@
             "t": "acme west",
             "p": 0.5,
             "doc": "Ym9keQ==",
-        } | more
+        } | overrides
         body = {"jsonrpc": "2.0", "id": self.next_id, "method": method, "params": params}
         return encode_frame(orjson.dumps(body)), str(params["i"])
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -120,8 +120,8 @@
     silent = [net.caller() for _ in range(callers.max_connections)]
     net.pass_time(2.3)
     assert all(each.transport.half_closed and not each.transport.disconnected for each in silent)
-    newcomer = net.caller()
-    assert newcomer in callers.connections
+    new_caller = net.caller()
+    assert new_caller in callers.connections
     [cut] = [each for each in silent if each not in callers.connections]
     assert cut.transport.disconnected, "out of the table, and its descriptor held for ever"
 
@@ -129,8 +129,8 @@
 def test_displaced_idle_connection_gets_a_farewell_and_its_crossing_request_is_served() -> None:
     with stepped(limits={"sockets": 64}) as s:
         callers = s.instance.callers
-        resting, connection = s.connect_accepted()
-        s.serve_request(resting)
+        idle, connection = s.connect_accepted()
+        s.serve_request(idle)
         others = []
         while (
             len(callers.connections) < callers.max_connections - callers.max_connections // DISPLACED_DIVISOR
@@ -142,18 +142,18 @@
             "the first to have rested a while",
             lambda: s.reactor.seconds() - max(c.last_active_at for c in callers.connections) > 0.06,
         )
-        crossing = resting.send_request()  # unread when the newcomer connects
+        crossing = idle.send_request()  # unread when the newcomer connects
         known = set(callers.connections)
-        newcomer = s.connect()
+        new_caller = s.connect()
         # The newcomer is accepted first, so that the farewell and the request cross.
         s.instance.listening_port.doRead()
         assert set(callers.connections) - known and connection in callers.being_displaced
         s.wait_for_run(crossing)
         s.kernel.finish_run(crossing)
-        s.wait_until("the answer", lambda: resting.answers_by_id().get(2))
-        assert resting.received_farewell() and resting.answers_by_id()[2]["result"]["doc"] == "eA=="
-        s.serve_request(newcomer)
-        resting.close()
+        s.wait_until("the answer", lambda: idle.answers_by_id().get(2))
+        assert idle.received_farewell() and idle.answers_by_id()[2]["result"]["doc"] == "eA=="
+        s.serve_request(new_caller)
+        idle.close()
         s.wait_until("its end", lambda: connection not in callers.connections)
         assert s.log.codes("connection-end") == ["displaced"] and not callers.being_displaced
 
@@ -490,7 +490,7 @@
 
 
 # Settings that only the sample file has, and that need a restart.
-NOT_LIVE = (
+NEED_RESTART = (
     "callsOver",
     "gauges",
     "justStarted",
@@ -521,7 +521,7 @@
     [line] = [line for line in net.log.lines if line["event"] == "reload"]
     assert line["moved"] == ["ledger"]
     stay = {"memory_mb", "sockets", "settings.classes", "settings.familyInfo.cpus"}
-    stay |= {f"settings.familyInfo.{name}" for name in NOT_LIVE}
+    stay |= {f"settings.familyInfo.{name}" for name in NEED_RESTART}
     assert set(line["needs_restart"]) == stay and len(line["needs_restart"]) == len(stay)
     net.ask(caller, 1, "other")
     assert net.answers(caller)[0]["error"]["message"] == "unknown class"
@@ -704,7 +704,7 @@
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def newcomer(p: RealProcess) -> CallerEnd:
+def connect_regular(p: RealProcess) -> CallerEnd:
     """Connects like a regular caller, which retries when its connection is rejected."""
     found: list[CallerEnd] = []
 
@@ -721,12 +721,12 @@
 
 
 @pytest.mark.skipif(not Path("/proc/self/stat").exists(), reason="looks at /proc")
-@pytest.mark.parametrize("says", ["nothing", "checks", "half a message"])
-def test_idle_clients_that_fill_the_descriptors_block_nothing(says: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("sends", ["nothing", "checks", "half a message"])
+def test_idle_clients_that_fill_the_descriptors_block_nothing(sends: str, tmp_path: Path) -> None:
     """Regular callers, the link to the kernel, calls and reports still get descriptors; the node list is
     down."""
     with process(tmp_path, limits={"sockets": 96}) as p:
-        usual = p.connect()
+        regular = p.connect()
 
         def served(caller: CallerEnd) -> None:
             ref, done = caller.send_request("book", k=f"key {caller.next_id}"), False
@@ -748,7 +748,7 @@
             p.wait_until("an answer", answered)
             assert "result" in caller.answers_by_id()[caller.next_id]
 
-        served(usual)
+        served(regular)
         before = descriptors(p)
         idle = []
         for number in range(250):
@@ -756,20 +756,20 @@
                 client = p.connect()
                 idle.append(client)
                 with suppress(OSError):  # the connection was rejected
-                    if says == "checks":
+                    if sends == "checks":
                         client.send_heartbeat()
-                    elif says == "half a message":
+                    elif sends == "half a message":
                         client.write(b"Content-Le")
             if number % 25 == 0:
                 assert descriptors(p) <= 96
-        if not usual.read_available().end and not usual.received_farewell():
-            served(usual)
-        served(newcomer(p))
+        if not regular.read_available().end and not regular.received_farewell():
+            served(regular)
+        served(connect_regular(p))
         p.kernel.reset()  # the link breaks while the table is full
         cursor = p.kernel.cursor
         p.boot()
         p.kernel.cursor = cursor
-        served(newcomer(p))
+        served(connect_regular(p))
         p.node_list_socket.settimeout(MOST)
         begun = processor_seconds(p)
         for _ in range(5):  # a report every 0.3 s, although the node list does not answer
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -32,17 +32,19 @@
 from limeridge.peers.gate import Gate
 
 ROOT = Path(__file__).parent.parent / "limeridge"
-ROOMY = SAMPLE["settings"] | {"familyInfo": SAMPLE["settings"]["familyInfo"] | {"callsOut": 40.0}}
+SETTINGS_WITH_MANY_CALLS = SAMPLE["settings"] | {
+    "familyInfo": SAMPLE["settings"]["familyInfo"] | {"callsOut": 40.0}
+}
 REPLY = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nreply"
 
 
-def booted(**changes: Any) -> Net:
+def boot_net(**changes: Any) -> Net:
     net = Net(**changes)
     assert net.boot() == [{"event": "OPEN", "cursor": 0}]
     return net
 
 
-def at_call(net: Net) -> tuple[Any, str, Any]:
+def start_call(net: Net) -> tuple[Any, str, Any]:
     """A txn whose run waits for a call: its caller, its ref, and the connection of the call."""
     caller = net.caller()
     ref = net.ask(caller, 1)
@@ -51,14 +53,14 @@
     return caller, ref, net.connect("127.0.1.2")
 
 
-def error(answers: list[dict[str, Any]]) -> dict[str, Any]:
+def single_error(answers: list[dict[str, Any]]) -> dict[str, Any]:
     assert len(answers) == 1, answers
     return dict(answers[0]["error"])
 
 
 def test_txn_with_a_call_is_served() -> None:
-    net = booted()
-    caller, ref, call_connection = at_call(net)
+    net = boot_net()
+    caller, ref, call_connection = start_call(net)
     head, _, body = call_connection.transport.sent().partition(b"\r\n\r\n")
     assert head.startswith(b"POST /records/op HTTP/1.1\r\n") and body == b"call"
     fields = dict(field.split(b": ") for field in head.split(b"\r\n")[1:])
@@ -78,8 +80,8 @@
     [(b"", REPLY), (b"", b"\x00noise"), (b"HTTP/1.1 103 Early\r\nLink: a\r\n\r\n" * 2, b"")],
 )
 def test_valid_reply_is_used_despite_surrounding_bytes(before: bytes, behind: bytes) -> None:
-    net = booted()
-    _, ref, call_connection = at_call(net)
+    net = boot_net()
+    _, ref, call_connection = start_call(net)
     call_connection.dataReceived(before + REPLY + behind)
     assert net.commands() == [{"event": "IODONE", "handle": ref, "arg": "cmVwbHk="}]
     assert call_connection.transport.disconnected
@@ -90,7 +92,7 @@
 
 def test_broken_call_is_retried_only_for_inquiries() -> None:
     for product, expected_events in (("look", ["NOIO"]), ("book", [])):
-        net = booted(settings=ROOMY)
+        net = boot_net(settings=SETTINGS_WITH_MANY_CALLS)
         caller = net.caller()
         ref = net.ask(caller, 1, product)
         net.commands()
@@ -108,7 +110,7 @@
 
 
 def test_excess_calls_wait_and_move_to_new_address() -> None:
-    net = booted()
+    net = boot_net()
     ledger = net.instance.ledger
     calls = [ledger.call(f"{n:016x}", 500_000, b"") for n in range(ledger.most + 2)]
     outcomes: list[End] = []
@@ -116,7 +118,7 @@
         call.done.addCallback(lambda called: outcomes.append(called.end))
     assert len(net.reactor.tcpClients) == ledger.connections == ledger.most
     first = net.connect("127.0.1.2")
-    net.file |= MOVED
+    net.file |= NEW_ADDRESSES
     net.instance.reload()
     first.dataReceived(REPLY)
     net.lose(first)
@@ -129,7 +131,7 @@
 
 
 def test_lapsed_share_stops_calls_before_they_are_sent() -> None:
-    net = booted()
+    net = boot_net()
     ledger, share, outcomes = net.instance.ledger, [2], []
     gate = ledger.gate = Gate(lambda: share[0], lambda: int(net.reactor.seconds() * 1e6), linger=200_000)
 
@@ -170,7 +172,7 @@
         def __getattr__(self, name: str) -> Any:
             return lambda: self.called.append(name)
 
-    net, members = booted(), Members()
+    net, members = boot_net(), Members()
     instance = net.instance
     instance.attach_peers(members)
     assert instance.facade.brain.call_most == 3 and instance.ledger.gate is members.gate
@@ -184,7 +186,7 @@
 
 
 def test_held_txn_that_is_declined_carries_retry_advice() -> None:
-    net = booted()
+    net = boot_net()
     caller = net.caller()
     refs = [net.ask(caller, number) for number in range(1, 9)]
     assert [c["handle"] for c in net.commands()] == refs[:2]
@@ -195,7 +197,7 @@
 
 
 def test_lost_link_resumes_at_the_cursor() -> None:
-    net = booted()
+    net = boot_net()
     caller = net.caller()
     first, second = net.ask(caller, 1), net.ask(caller, 2)
     net.commands()
@@ -216,7 +218,7 @@
 
 
 def test_invalid_kernel_lines_affect_no_other_txn() -> None:
-    net = booted()
+    net = boot_net()
     caller = net.caller()
     ref = net.ask(caller, 1)
     net.commands()
@@ -230,13 +232,13 @@
     assert net.answers(caller) == []  # the cursor was seen before
     assert net.log.codes("link-fault") == ["unreadable", "unreadable", "unknown-handle", "seen"]
     net.tell(event="EINVAL", fate="SCHED", handle=ref)
-    assert error(net.answers(caller))["code"] not in (0, -32008)
+    assert single_error(net.answers(caller))["code"] not in (0, -32008)
     net.link.dataReceived(b"x" * 70_000)
     assert net.link.transport.disconnected
 
 
 def test_gap_in_notices_is_requested_again() -> None:
-    net = booted()
+    net = boot_net()
     net.tell(event="DMESG", cursor=3, fate="")
     assert net.link.transport.disconnected and "gap" in net.log.codes("link-fault")
     net.pass_time(0.1)
@@ -246,7 +248,7 @@
 
 @pytest.mark.parametrize("how", ["refused", "broken", "malformed", "late", "full"])
 def test_inquiry_continues_without_its_failed_call(how: str) -> None:
-    net = booted(settings=ROOMY)
+    net = boot_net(settings=SETTINGS_WITH_MANY_CALLS)
     if how == "refused":
         caller, _ref = net.caller(), ""
         net.tell(event="IOREQ", cursor=None, handle=net.ask(caller, 1), arg="")
@@ -254,7 +256,7 @@
         factory = net.reactor.tcpClients.pop()[2]
         factory.clientConnectionFailed(None, Failure(ConnectionRefusedError()))
     else:
-        caller, _ref, call_connection = at_call(net)
+        caller, _ref, call_connection = start_call(net)
         if how == "broken":
             call_connection.dataReceived(REPLY[:30])
             net.lose(call_connection)
@@ -276,7 +278,7 @@
 
 
 def test_refusing_ledger_is_retried_at_a_bounded_rate() -> None:
-    net = booted()
+    net = boot_net()
     caller = net.caller()
     net.tell(event="IOREQ", cursor=None, handle=net.ask(caller, 1, "book", k="a"), arg="")
     tried = 0
@@ -291,34 +293,34 @@
 
 
 def test_run_that_ends_while_waiting_for_a_call_is_answered_at_once() -> None:
-    net = booted()
+    net = boot_net()
     caller = net.caller()
     ref = net.ask(caller, 1, "book", k="a")
     net.tell(event="IOREQ", cursor=None, handle=ref, arg="")
     net.reactor.advance(0)
     net.reactor.tcpClients.pop()[2].clientConnectionFailed(None, Failure(ConnectionRefusedError()))
     net.tell(event="REAP", cursor=None, handle=ref, fate="failed", lasted=5)
-    assert error(net.answers(caller))["message"] == "run failed" and not net.instance.jobs
+    assert single_error(net.answers(caller))["message"] == "run failed" and not net.instance.jobs
 
 
 def test_partial_message_times_out() -> None:
-    net = booted()
-    stranger, silent, usual = net.caller(), net.caller(), net.caller()
-    ref = net.ask(usual, 1)
+    net = boot_net()
+    partial, silent, active = net.caller(), net.caller(), net.caller()
+    ref = net.ask(active, 1)
     net.tell(event="REAP", cursor=None, handle=ref, fate="ok", lasted=30, arg="eA==")
     for _ in range(6):
-        for caller in (stranger, usual):
+        for caller in (partial, active):
             caller.dataReceived(b"C" if not caller.frames.has_partial_frame else b"o")
         net.pass_time(0.5, 0.1)
-    assert all(caller.transport.disconnecting for caller in (stranger, silent, usual))
-    assert [caller.end_code for caller in (stranger, silent, usual)] == ["silent", "silent", "half-message"]
+    assert all(caller.transport.disconnecting for caller in (partial, silent, active))
+    assert [caller.end_code for caller in (partial, silent, active)] == ["silent", "silent", "half-message"]
 
 
 def test_silent_connections_do_not_displace_active_callers() -> None:
-    net = booted()
+    net = boot_net()
     callers = net.instance.callers
-    usual = net.caller()
-    ref = net.ask(usual, 1, d=1e6)
+    active = net.caller()
+    ref = net.ask(active, 1, d=1e6)
     for _ in range(callers.max_connections):
         net.caller()
         net.pass_time(0.001, 0.001)
@@ -329,9 +331,9 @@
     late = net.caller()
     net.ask(late, 1)
     net.tell(event="REAP", cursor=None, handle=ref, fate="ok", lasted=30, arg="eA==")
-    assert net.answers(usual)[0]["result"] and not usual.transport.disconnecting
-    resting = [net.caller() for _ in range(callers.max_connections)]
-    for caller in resting:
+    assert net.answers(active)[0]["result"] and not active.transport.disconnecting
+    idle = [net.caller() for _ in range(callers.max_connections)]
+    for caller in idle:
         net.send(caller, jsonrpc="2.0", id=1, method="heartbeat")
     net.pass_time(0.1)
     net.caller()
@@ -339,52 +341,52 @@
 
 
 def test_connection_with_too_many_errors_is_closed() -> None:
-    net = booted()
-    wrong = net.caller()
-    net.ask(wrong, 1)
+    net = boot_net()
+    invalid = net.caller()
+    net.ask(invalid, 1)
     net.commands()
     for number in range(2, 40):
-        net.ask(wrong, number, "unheard-of")
+        net.ask(invalid, number, "unheard-of")
     net.pass_time(0.05)
-    assert len(net.answers(wrong)) == MAX_ERROR_SCORE // 2 and not wrong.transport.disconnecting
+    assert len(net.answers(invalid)) == MAX_ERROR_SCORE // 2 and not invalid.transport.disconnecting
     net.pass_time(3.2)  # open txns are answered before it is closed
-    assert wrong.transport.disconnecting and wrong.end_code == "nothing-served"
-    usual, wavering = net.caller(), net.caller()
+    assert invalid.transport.disconnecting and invalid.end_code == "nothing-served"
+    active, failing = net.caller(), net.caller()
     for number in range(1, 100):
-        ref = net.ask(usual, 2 * number)
-        net.ask(usual, 2 * number + 1, "unheard-of")
+        ref = net.ask(active, 2 * number)
+        net.ask(active, 2 * number + 1, "unheard-of")
         net.tell(event="REAP", cursor=None, handle=ref, fate="ok", lasted=30, arg="eA==")
-        net.tell(event="REAP", cursor=None, handle=net.ask(wavering, number), fate="failed", lasted=30)
+        net.tell(event="REAP", cursor=None, handle=net.ask(failing, number), fate="failed", lasted=30)
         net.commands()
         net.pass_time(0.01)
-        if wavering.transport.disconnecting:
+        if failing.transport.disconnecting:
             break
-        assert (wavering.farewell_at is not None) == (number >= MAX_ERROR_SCORE // 2)
-    assert usual.end_code == "" and number == MAX_ERROR_SCORE
+        assert (failing.farewell_at is not None) == (number >= MAX_ERROR_SCORE // 2)
+    assert active.end_code == "" and number == MAX_ERROR_SCORE
 
 
 def test_flood_on_one_connection_does_not_starve_others() -> None:
-    net = booted()
-    flood = net.caller()
+    net = boot_net()
+    flooding = net.caller()
     one = encode_frame(orjson.dumps({"jsonrpc": "2.0", "id": 1, "method": "heartbeat"}))
-    flood.dataReceived(one * 100)
-    assert len(list(FrameParser().feed(flood.transport.sent()))) == MESSAGES_PER_ITERATION
-    assert flood.transport.producerState == "paused"
+    flooding.dataReceived(one * 100)
+    assert len(list(FrameParser().feed(flooding.transport.sent()))) == MESSAGES_PER_ITERATION
+    assert flooding.transport.producerState == "paused"
     net.pass_time(0.1)
     assert (
-        len(net.answers(flood)) == 100 - MESSAGES_PER_ITERATION
-        and flood.transport.producerState == "producing"
+        len(net.answers(flooding)) == 100 - MESSAGES_PER_ITERATION
+        and flooding.transport.producerState == "producing"
     )
     for number in range(1, 200):
-        net.ask(flood, number)
-        net.send(flood, jsonrpc="2.0", method="revoke", params={"id": number})
-    assert flood.transport.disconnecting and flood.end_code == "taken-back"
+        net.ask(flooding, number)
+        net.send(flooding, jsonrpc="2.0", method="revoke", params={"id": number})
+    assert flooding.transport.disconnecting and flooding.end_code == "taken-back"
 
 
 @pytest.mark.parametrize("params", [{"id": 1}, {"i": "REF"}])
 def test_call_is_abandoned_when_its_run_ends(params: dict[str, Any]) -> None:
-    net = booted()
-    caller, ref, call_connection = at_call(net)
+    net = boot_net()
+    caller, ref, call_connection = start_call(net)
     net.send(caller, jsonrpc="2.0", method="revoke", params=params if "id" in params else {"i": ref})
     net.tell(event="REAP", cursor=None, handle=ref, fate="halted", lasted=5)
     net.reactor.advance(0)
@@ -392,7 +394,7 @@
 
 
 def test_drain_sends_farewells_answers_all_and_exits() -> None:
-    net = booted()
+    net = boot_net()
     stopped: list[bool] = []
     net.reactor.stop = lambda: stopped.append(True)  # type: ignore[method-assign]
     busy, idle = net.caller(), net.caller()
@@ -426,7 +428,7 @@
 
 
 def test_drained_instance_exits_once_all_connections_are_closed() -> None:
-    net = booted()
+    net = boot_net()
     stopped: list[bool] = []
     net.reactor.stop = lambda: stopped.append(True)  # type: ignore[method-assign]
     caller = net.caller()
@@ -440,7 +442,7 @@
 
 
 def test_output_to_peer_that_does_not_read_is_bounded() -> None:
-    net = booted()
+    net = boot_net()
     caller, other = net.caller(), net.caller()
     caller.pauseProducing()
     for _ in range(MAX_UNREAD_BYTES // 50):
@@ -457,7 +459,7 @@
 
 
 def test_invalid_messages_are_answered_and_invalid_frames_close_the_connection() -> None:
-    net = booted()
+    net = boot_net()
     caller, other = net.caller(), net.caller()
     for body, code in (
         (b"{", -32700),
@@ -466,7 +468,7 @@
         (b'{"jsonrpc":"2.0","id":0,"method":"look"}', -32600),
     ):
         caller.dataReceived(b"Content-Length: %d\r\n\r\n%b" % (len(body), body))
-        assert error(net.answers(caller))["code"] == code
+        assert single_error(net.answers(caller))["code"] == code
     for number, (method, fields, code) in enumerate(
         [
             ("nothing", {}, -32601),
@@ -499,7 +501,7 @@
 
 
 def test_open_txns_per_connection_are_bounded() -> None:
-    net = booted()
+    net = boot_net()
     caller = net.caller()
     for number in range(1, MAX_OPEN_TXNS + 2):
         net.ask(caller, number, d=60_000)
@@ -508,12 +510,12 @@
 
 
 def test_exception_in_one_txn_fails_only_that_txn() -> None:
-    net = booted()
+    net = boot_net()
     caller = net.caller()
     start = net.instance.kernel.start
     net.instance.kernel.start = lambda *_: 1 / 0  # type: ignore[assignment, method-assign]
     ref = net.ask(caller, 1)
-    assert error(net.answers(caller))["code"] not in (0, -32008)
+    assert single_error(net.answers(caller))["code"] not in (0, -32008)
     assert net.log.codes("txn-fault") == ["exception"]
     net.instance.kernel.start = start  # type: ignore[method-assign]
     net.tell(event="REAP", cursor=None, handle=ref, fate="void")  # the kernel no longer knows the run
@@ -525,7 +527,7 @@
 
 
 def test_exception_in_the_brain_ends_neither_the_instance_nor_other_txns() -> None:
-    net = booted()
+    net = boot_net()
     caller, other = net.caller(), net.caller()
     net.ask(caller, 1)
     net.reactor.advance(0)
@@ -542,7 +544,7 @@
 
 
 def test_decision_prevented_by_an_exception_is_made_soon_after() -> None:
-    net = booted()
+    net = boot_net()
     brain = net.instance.facade.brain
     broken, brain._run_held = brain._run_held, lambda: iter([1 / 0])  # type: ignore[assignment, method-assign]
     net.ask(net.caller(), 1)
@@ -553,7 +555,7 @@
 
 
 def test_repeat_gets_the_stored_result() -> None:
-    net = booted()
+    net = boot_net()
     caller = net.caller()
     first = net.ask(caller, 1, "book", k="acct-1")
     joined = net.ask(caller, 2, "book", k="acct-1")
@@ -564,7 +566,7 @@
 
 
 def test_step_of_unix_time_loses_and_delays_no_txn() -> None:
-    net = booted()
+    net = boot_net()
     caller = net.caller()
     sent_at_ms = int(net.unix * 1_000)
     net.unix -= 7.0
@@ -576,7 +578,7 @@
 
 
 def test_after_a_pause_the_brain_answers_before_the_overdue_check() -> None:
-    net = booted()
+    net = boot_net()
     caller = net.caller()
     for number in range(1, 6):
         net.ask(caller, number)
@@ -587,12 +589,12 @@
 
 
 def test_txn_lost_by_the_brain_is_answered_by_the_overdue_check() -> None:
-    net = booted()
+    net = boot_net()
     caller = net.caller()
     net.ask(caller, 1)
     net.instance.facade.brain.books.dues.clear()
     net.pass_time(3.5)
-    assert error(net.answers(caller))["message"] == "overdue" and net.log.codes("overdue") == ["guard"]
+    assert single_error(net.answers(caller))["message"] == "overdue" and net.log.codes("overdue") == ["guard"]
 
 
 def test_instance_is_ready_only_with_its_kernel_and_needs_no_ledger() -> None:
@@ -618,7 +620,7 @@
 
 
 def test_deep_check_probes_the_kernel_unless_a_run_succeeded() -> None:
-    net = booted()
+    net = boot_net()
     caller = net.caller()
     net.send(caller, jsonrpc="2.0", id=1, method="heartbeat", params={"x": True})
     [post] = net.commands()
@@ -634,7 +636,7 @@
 
 
 def test_connections_above_the_limit_are_rejected() -> None:
-    net = booted(limits={"sockets": 128})
+    net = boot_net(limits={"sockets": 128})
     callers = [net.caller() for _ in range(net.instance.callers.max_connections)]
     rejected = net.caller()
     assert isinstance(rejected, RejectedConnection) and rejected.transport.disconnected
@@ -643,7 +645,7 @@
 
 
 def test_memory_of_open_txns_is_bounded() -> None:
-    net = booted()
+    net = boot_net()
     net.instance.callers.max_held_bytes = 5_000
     caller = net.caller()
     net.ask(caller, 1)
@@ -652,7 +654,7 @@
 
 
 def test_idle_connections_get_a_farewell_before_the_close() -> None:
-    net = booted()
+    net = boot_net()
     caller = net.caller()
     net.instance.facade.idle_limit = 500_000
     net.pass_time(0.7)
@@ -710,14 +712,14 @@
         assert not {n for n in names_in(path) if n.startswith(("limeridge.net", "limeridge.facade"))}, path
 
 
-MOVED = {"kernel": "127.0.3.1:7301", "records": "127.0.3.2:8901", "roster": "127.0.3.3:7947"}
+NEW_ADDRESSES = {"kernel": "127.0.3.1:7301", "records": "127.0.3.2:8901", "roster": "127.0.3.3:7947"}
 
 
 def test_reload_applies_new_addresses_and_runs_continue() -> None:
-    net = booted()
-    caller, ref, call_connection = at_call(net)
+    net = boot_net()
+    caller, ref, call_connection = start_call(net)
     old, net.cursor = net.link, 1
-    net.file |= MOVED | {"listen": "127.0.0.1:9999"}
+    net.file |= NEW_ADDRESSES | {"listen": "127.0.0.1:9999"}
     net.instance.reload()
     assert net.log.lines[-1]["moved"] == ["kernel", "ledger", "node_list"]
     assert net.log.lines[-1]["needs_restart"] == ["listen"]
@@ -741,8 +743,8 @@
 
 
 def test_unusable_configuration_changes_nothing_and_is_read_again() -> None:
-    net = booted()
-    good, net.file = net.file | MOVED, net.file | {"records": "nowhere"}
+    net = boot_net()
+    good, net.file = net.file | NEW_ADDRESSES, net.file | {"records": "nowhere"}
     net.instance.reload()
     assert net.log.codes("reload") == ["unusable"] and "records" in net.log.lines[-1]["why"]
     assert net.instance.ledger.host == "127.0.1.2"
@@ -757,7 +759,7 @@
 
 def test_connection_attempt_to_an_outdated_kernel_address_is_dropped() -> None:
     net = Net()
-    net.file |= MOVED
+    net.file |= NEW_ADDRESSES
     net.instance.reload()
     late = net.connect("127.0.1.1")
     assert late.transport.disconnected and net.instance.kernel.link is None
@@ -768,7 +770,7 @@
 
 
 def test_short_loss_of_the_link_keeps_the_instance_healthy() -> None:
-    net = booted()
+    net = boot_net()
     net.lose(net.link, clean=False)
     caller = net.caller()
     for deep, (wait, ready) in enumerate([(0.1, True), (0.1, True), (1.5, False)]):
@@ -803,7 +805,7 @@
 
 
 def test_brain_decides_once_per_event_loop_iteration() -> None:
-    net = booted(settings=ROOMY)
+    net = boot_net(settings=SETTINGS_WITH_MANY_CALLS)
     brain, passes = net.instance.facade.brain, []
     decisions = brain._decisions
     brain._decisions = lambda: (passes.append(1), decisions())[1]  # type: ignore[method-assign]
--- a/tests/test_unread.py
+++ b/tests/test_unread.py
@@ -31,7 +31,7 @@
 )
 
 
-class SlowTurn:
+class AdjustableClock:
     """The clock of the callers' server, set forward as by a long iteration of the event loop."""
 
     def __init__(self, clock: Any) -> None:
@@ -44,12 +44,12 @@
         return self.clock.callLater(*call)
 
 
-def accept(s: SteppedInstance) -> None:
+def accept_backlog(s: SteppedInstance) -> None:
     """Accepts the connections in the backlog, and reads nothing else."""
     s.instance.listening_port.doRead()
 
 
-def all_answered(s: SteppedInstance, asked: dict[str, CallerEnd]) -> None:
+def answer_all(s: SteppedInstance, requests: dict[str, CallerEnd]) -> None:
     """Each request runs, and its result arrives on its own connection."""
     done: set[str] = set()
 
@@ -58,76 +58,75 @@
             if command["handle"] not in done:
                 done.add(command["handle"])
                 s.kernel.finish_run(command["handle"])
-        for remote in asked.values():
+        for remote in requests.values():
             assert remote.read_available().end != "reset", "a request was lost"
-        return all(remote.answers_by_id().get(remote.next_id) for remote in asked.values())
+        return all(remote.answers_by_id().get(remote.next_id) for remote in requests.values())
 
     s.wait_until("all answers", answered)
 
 
-def slow(s: SteppedInstance) -> SlowTurn:
-    made = SlowTurn(s.reactor)
-    s.instance.callers.clock = made
-    return made
+def install_adjustable_clock(s: SteppedInstance) -> AdjustableClock:
+    clock = AdjustableClock(s.reactor)
+    s.instance.callers.clock = clock
+    return clock
 
 
 def test_connection_with_unread_request_is_not_displaced() -> None:
     with stepped(limits={"sockets": 96}) as s:
-        clock, callers = slow(s), s.instance.callers
-        asked = {}
+        clock, callers = install_adjustable_clock(s), s.instance.callers
+        requests = {}
         while (
             len(callers.awaiting_first_request) * AWAITING_REQUEST_DIVISOR
             < callers.max_connections + AWAITING_REQUEST_DIVISOR
         ):
             remote = s.connect()
-            asked[remote.send_request()] = remote
-            accept(s)
+            requests[remote.send_request()] = remote
+            accept_backlog(s)
         clock.ahead += 2 * DISPLACEMENT_GRACE_S  # within the same iteration of the event loop
         for _ in range(8):
             remote = s.connect()
-            asked[remote.send_request()] = remote
-            accept(s)
-        all_answered(s, asked)
+            requests[remote.send_request()] = remote
+            accept_backlog(s)
+        answer_all(s, requests)
         assert not s.log.codes("connection-end")
 
 
 def test_silent_connection_is_displaced() -> None:
     with stepped(limits={"sockets": 96}) as s:
-        clock, callers = slow(s), s.instance.callers
+        clock, callers = install_adjustable_clock(s), s.instance.callers
         silent = [s.connect() for _ in range(callers.max_connections // AWAITING_REQUEST_DIVISOR + 1)]
-        accept(s)
+        accept_backlog(s)
         clock.ahead += 2 * DISPLACEMENT_GRACE_S
         newcomer = s.connect()
-        accept(s)
-        all_answered(s, {newcomer.send_request(): newcomer})
+        accept_backlog(s)
+        answer_all(s, {newcomer.send_request(): newcomer})
         assert s.log.codes("connection-end") == ["displaced"]
         assert [remote.read_available().end for remote in silent].count("reset") == 1
 
 
 def test_connection_with_farewell_is_not_aborted_over_unread_request() -> None:
     with stepped(limits={"sockets": 64}) as s:
-        clock, callers = slow(s), s.instance.callers
-        resting = []
+        clock, callers = install_adjustable_clock(s), s.instance.callers
+        idle = []
         while (
             len(callers.connections) < callers.max_connections - callers.max_connections // DISPLACED_DIVISOR
         ):
             remote, _ = s.connect_accepted()
             s.serve_request(remote)
-            resting.append(remote)
+            idle.append(remote)
         clock.ahead += 2 * DISPLACEMENT_GRACE_S
-        asked = {}
-        while (
-            len(callers.connections) < callers.max_connections
-        ):  # each causes a farewell to one idle connection
+        requests = {}
+        # Each new connection causes a farewell to an idle one.
+        while len(callers.connections) < callers.max_connections:
             remote = s.connect()
-            asked[remote.send_request()] = remote
-            accept(s)
-        for remote in resting:  # the farewells are still unread
-            asked[remote.send_request()] = remote
+            requests[remote.send_request()] = remote
+            accept_backlog(s)
+        for remote in idle:  # the farewells are still unread
+            requests[remote.send_request()] = remote
         clock.ahead += 2 * DISPLACEMENT_GRACE_S
         s.connect()
-        accept(s)
-        all_answered(s, asked)
+        accept_backlog(s)
+        answer_all(s, requests)
 
 
 def test_connections_closed_by_their_callers_free_their_slots() -> None:
@@ -140,12 +139,12 @@
             served.append(remote)
         for remote in served:
             remote.close()
-        asked = {}
+        requests = {}
         for _ in range(callers.max_connections // 2):
             remote = s.connect()
-            asked[remote.send_request()] = remote
-        accept(s)  # in one iteration; the closes of the others are unread
-        all_answered(s, asked)
+            requests[remote.send_request()] = remote
+        accept_backlog(s)  # in one iteration; the closes of the others are unread
+        answer_all(s, requests)
         assert "full" not in s.log.codes("connection-end")
 
 
@@ -153,7 +152,7 @@
 def test_sweep_reads_socket_before_closing_for_inactivity(state: str) -> None:
     """After a long iteration, or a pause of the process, that exceeds the timeout."""
     with stepped() as s:
-        clock = slow(s)
+        clock = install_adjustable_clock(s)
         remote, connection = s.connect_accepted()
         if state != "silent":
             s.serve_request(remote)
@@ -168,7 +167,7 @@
         assert select.select([connection.transport.socket], [], [], MOST)[0], "it has not arrived"
         clock.ahead += max(MESSAGE_TIMEOUT_S, CLOSE_TIMEOUT_S) + 0.1
         s.instance.callers.sweep()
-        all_answered(s, {ref: remote})
+        answer_all(s, {ref: remote})
 
 
 def test_no_connection_is_accepted_between_last_accept_and_close() -> None:
@@ -189,12 +188,12 @@
 
         port.connectionLost = connect_first
         before = s.connect()
-        asked = {before.send_request(): before}
+        requests = {before.send_request(): before}
         s.instance.start_drain()
         s.instance.stop_accepting()
         [(remote, connected)] = late
         remote.close()
         assert not connected, "it stands, and is reset with what it writes"
-        all_answered(s, asked)
+        answer_all(s, requests)
         with pytest.raises(OSError, match="refused"):
             s.connect()
