--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,8 +1,8 @@
-"""One instance on real loopback sockets, its reactor turned by hand: what happens between turns is forced.
+"""One instance on real loopback sockets, with an event loop that is advanced step by step.
 
-Far ends are plain sockets that read and write only when a test says so, so that bytes can lie unread in
-either side's buffers at the very moment at which the other side acts. Nothing here sleeps; what is awaited
-has a bound.
+The remote ends are plain sockets that read and write only when a test tells them to, so that a test can leave
+unread bytes in the buffers of either side at the moment when the other side acts. There are no sleeps, and
+every wait is bounded.
 """
 
 from __future__ import annotations
@@ -20,42 +20,42 @@
 from twisted.internet.epollreactor import EPollReactor
 
 from limeridge.config import reading, setup_of
-from limeridge.net.callers import Frames, frame
+from limeridge.net.callers import FrameParser, encode_frame
 from limeridge.net.service import Instance
 
 
-def bound(kind: int = socket.SOCK_STREAM) -> socket.socket:
-    made = socket.socket(socket.AF_INET, kind)
-    made.bind(("127.0.0.1", 0))
-    return made
+def bound_socket(socket_type: int = socket.SOCK_STREAM) -> socket.socket:
+    sock = socket.socket(socket.AF_INET, socket_type)
+    sock.bind(("127.0.0.1", 0))
+    return sock
 
 
 def free_address() -> str:
-    """Where a process may listen later, on a loopback address of this process's own. A free number of
-    127.0.0.1 may go to a connection of any other process before it is listened on: the instance then waits
-    for it, as for one that a predecessor still holds."""
+    """An address on which a process can listen later, on a loopback host of this process's own. A free port
+    of 127.0.0.1 may be taken by a connection of another process before it is listened on; the instance would
+    then wait for it, as for one that a predecessor still holds."""
     number = os.getpid()
     host = f"127.{64 + (number >> 16) % 64}.{number >> 8 & 255}.{number & 255 or 255}"
-    with socket.socket() as made:
-        made.bind((host, 0))
-        return address(made)
+    with socket.socket() as sock:
+        sock.bind((host, 0))
+        return address(sock)
 
 
-def address(of: socket.socket) -> str:
-    host, port = of.getsockname()[:2]
+def address(bound: socket.socket) -> str:
+    host, port = bound.getsockname()[:2]
     return f"{host}:{port}"
 
 
-class Far:
-    """A far end: reads what is there, and knows how its stream ended."""
+class RemoteEnd:
+    """The remote end of a connection; reads what has arrived, and records how the stream ended."""
 
-    def __init__(self, made: socket.socket) -> None:
-        self.socket = made
-        made.setblocking(False)
+    def __init__(self, sock: socket.socket) -> None:
+        self.socket = sock
+        sock.setblocking(False)
         self.data = b""
-        self.end = ""  # "end" for the end of the stream, "reset"
+        self.end = ""  # "end" or "reset" once the stream has ended
 
-    def pump(self) -> Far:
+    def read_available(self) -> RemoteEnd:
         while not self.end:
             try:
                 data = self.socket.recv(65_536)
@@ -66,8 +66,8 @@
                 break
             self.data += data
             if not data:
-                # A reset behind the end is seen by who looks for it alone, but it is one: with bytes still on
-                # their way, it takes them along.
+                # A reset right after the end of the stream shows only in SO_ERROR. It counts as a reset, as
+                # it discards bytes that are still in flight.
                 late = self.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
                 self.end = "reset" if late else "end"
         return self
@@ -83,33 +83,33 @@
         self.socket.close()
 
 
-class CallerEnd(Far):
-    def __init__(self, made: socket.socket) -> None:
-        super().__init__(made)
-        self.frames = Frames()
-        self.heard: list[dict[str, Any]] = []
+class CallerEnd(RemoteEnd):
+    def __init__(self, sock: socket.socket) -> None:
+        super().__init__(sock)
+        self.frames = FrameParser()
+        self.received: list[dict[str, Any]] = []
         self.next_id = 0
 
-    def answers(self) -> list[dict[str, Any]]:
-        """All that was heard so far, farewells among it."""
-        self.pump()
+    def messages(self) -> list[dict[str, Any]]:
+        """All messages received so far, including farewells."""
+        self.read_available()
         data, self.data = self.data, b""
-        self.heard += [orjson.loads(body) for body in self.frames.feed(data)]
-        return self.heard
+        self.received += [orjson.loads(body) for body in self.frames.feed(data)]
+        return self.received
 
-    def by_id(self) -> dict[int, dict[str, Any]]:
-        return {each["id"]: each for each in self.answers() if each.get("id")}
+    def answers_by_id(self) -> dict[int, dict[str, Any]]:
+        return {each["id"]: each for each in self.messages() if each.get("id")}
 
-    def said_farewell(self) -> bool:
-        return any(each.get("method") == "farewell" for each in self.answers())
+    def received_farewell(self) -> bool:
+        return any(each.get("method") == "farewell" for each in self.messages())
 
-    def ask(self, method: str = "look", **more: Any) -> str:
-        """The whole message in one write; gives its ref."""
-        data, ref = self.framed(method, **more)
+    def send_request(self, method: str = "look", **overrides: Any) -> str:
+        """Sends a request in one write; returns its ref."""
+        data, ref = self.encode_request(method, **overrides)
         self.write(data)
         return ref
 
-    def framed(self, method: str = "look", **more: Any) -> tuple[bytes, str]:
+    def encode_request(self, method: str = "look", **overrides: Any) -> tuple[bytes, str]:
         self.next_id += 1
         ref = f"{self.socket.fileno():04x}{id(self) % 0xFFFF:04x}{self.next_id:08x}"
         params = {
@@ -121,128 +121,132 @@
             "t": "acme west",
             "p": 0.5,
             "doc": "Ym9keQ==",
-        } | more
+        } | overrides
         body = {"jsonrpc": "2.0", "id": self.next_id, "method": method, "params": params}
-        return frame(orjson.dumps(body)), str(params["i"])
+        return encode_frame(orjson.dumps(body)), str(params["i"])
 
-    def check(self) -> None:
+    def send_heartbeat(self) -> None:
         self.next_id += 1
-        self.write(frame(orjson.dumps({"jsonrpc": "2.0", "id": self.next_id, "method": "heartbeat"})))
+        self.write(encode_frame(orjson.dumps({"jsonrpc": "2.0", "id": self.next_id, "method": "heartbeat"})))
 
 
-class KernelEnd(Far):
-    """The kernel's end of a link; its cursor goes on over links."""
+class KernelEnd(RemoteEnd):
+    """The kernel's end of a link; the cursor continues across links."""
 
     cursor = 0
 
     def commands(self, event: str = "") -> list[dict[str, Any]]:
-        """What came so far, but for the gauges that are asked for."""
-        self.pump()
+        """The commands received so far, except requests for gauges."""
+        self.read_available()
         found = [orjson.loads(line) for line in self.data.splitlines(keepends=True) if line.endswith(b"\n")]
         return [each for each in found if each["event"] != "SYSINFO" and event in ("", each["event"])]
 
-    def tell(self, **fields: Any) -> None:
+    def send_event(self, **fields: Any) -> None:
         self.write(orjson.dumps(fields) + b"\n")
 
-    def note(self, **fields: Any) -> None:
+    def send_notice(self, **fields: Any) -> None:
         self.cursor += 1
-        self.tell(cursor=self.cursor, **fields)
+        self.send_event(cursor=self.cursor, **fields)
 
-    def done(self, ref: str, doc: str = "eA==") -> None:
-        self.note(event="REAP", handle=ref, fate="ok", lasted=5, arg=doc)
+    def finish_run(self, ref: str, doc: str = "eA==") -> None:
+        self.send_notice(event="REAP", handle=ref, fate="ok", lasted=5, arg=doc)
 
 
-class Stepped:
+class SteppedInstance:
     def __init__(self, boot: bool = True, **changes: Any) -> None:
         self.reactor: Any = EPollReactor()
         self.reactor.seconds = time.monotonic
-        self.ended: list[bool] = []
-        self.reactor.stop = lambda: self.ended.append(True)
-        self.kernels, self.ledgers, self.roster = bound(), bound(), bound(socket.SOCK_DGRAM)
-        for made in (self.kernels, self.ledgers):
+        self.stopped: list[bool] = []
+        self.reactor.stop = lambda: self.stopped.append(True)
+        self.kernel_listener, self.ledger_listener, self.node_list_socket = (
+            bound_socket(),
+            bound_socket(),
+            bound_socket(socket.SOCK_DGRAM),
+        )
+        for made in (self.kernel_listener, self.ledger_listener):
             made.listen(64)
-        for made in (self.kernels, self.ledgers, self.roster):
+        for made in (self.kernel_listener, self.ledger_listener, self.node_list_socket):
             made.setblocking(False)
-        self.file: dict[str, Any] = (
+        self.configuration: dict[str, Any] = (
             SAMPLE
             | {
                 "listen": free_address(),
-                "kernel": address(self.kernels),
-                "records": address(self.ledgers),
-                "roster": address(self.roster),
+                "kernel": address(self.kernel_listener),
+                "records": address(self.ledger_listener),
+                "roster": address(self.node_list_socket),
             }
             | changes
         )
         self.log = Sink()
         self.instance = Instance(
-            setup_of(self.file),
+            setup_of(self.configuration),
             self.reactor,
             self.log,  # type: ignore[arg-type]
-            lambda before, now: reading("config", lambda _: [orjson.dumps(self.file)], before, now),
+            lambda before, now: reading("config", lambda _: [orjson.dumps(self.configuration)], before, now),
         )
-        self.fars: list[Far] = []
+        self.remote_ends: list[RemoteEnd] = []
         self.instance.start()
         self.kernel: Any = None
         if boot:
             self.boot()
 
-    def turn(self, turns: int = 1) -> None:
+    def iterate(self, turns: int = 1) -> None:
         for _ in range(turns):
             self.reactor.iterate(0)
 
-    def until(self, what: str, held: Callable[[], Any]) -> Any:
+    def wait_until(self, description: str, condition: Callable[[], Any]) -> Any:
         end = time.monotonic() + MOST
-        while not (found := held()):
-            assert time.monotonic() < end, f"not within {MOST:g} s: {what}"
+        while not (found := condition()):
+            assert time.monotonic() < end, f"not within {MOST:g} s: {description}"
             self.reactor.iterate(0.005)
         return found
 
-    def accepted(self, listener: socket.socket, kind: type[Far]) -> Any:
-        def taken() -> Any:
+    def accept(self, listener: socket.socket, remote_type: type[RemoteEnd]) -> Any:
+        def accept_now() -> Any:
             with suppress(BlockingIOError):
                 return listener.accept()[0]
             return None
 
-        far = kind(self.until("a connection of the instance", taken))
-        self.fars.append(far)
-        return far
+        remote = remote_type(self.wait_until("a connection of the instance", accept_now))
+        self.remote_ends.append(remote)
+        return remote
 
-    def link(self, listener: socket.socket | None = None) -> Any:
-        """A link of the instance, accepted and opened; nothing is told on it yet."""
-        far = self.accepted(listener or self.kernels, KernelEnd)
-        self.until("the opening of a link", lambda: far.commands("OPEN"))
-        return far
+    def accept_link(self, listener: socket.socket | None = None) -> Any:
+        """Accepts a link of the instance, and waits for its OPEN; sends nothing on it yet."""
+        remote = self.accept(listener or self.kernel_listener, KernelEnd)
+        self.wait_until("the opening of a link", lambda: remote.commands("OPEN"))
+        return remote
 
     def boot(self, cold: bool = False, listener: socket.socket | None = None) -> None:
-        before, self.kernel = self.kernel, self.link(listener)
+        before, self.kernel = self.kernel, self.accept_link(listener)
         self.kernel.cursor = before.cursor if before is not None else 0
-        self.kernel.tell(event="BOOTED", fate="cold" if cold else "warm", lasted=60_000)
-        self.until("the fence", lambda: b"fence" in self.kernel.pump().data)
-        self.kernel.tell(event="INFO", ticket="fence", figures=[0, 0, 0, 0])
-        self.until("the link to be ready", lambda: self.instance.kernel.ready)
-
-    def caller(self) -> CallerEnd:
-        host, _, port = self.file["listen"].rpartition(":")
-        far = CallerEnd(socket.create_connection((host, int(port)), timeout=MOST))
-        self.fars.append(far)
-        return far
-
-    def standing(self) -> tuple[CallerEnd, Any]:
-        """A caller whose connection was accepted, with our end of it."""
-        known, far = set(self.instance.callers.connections), self.caller()
-        new = self.until("the connection", lambda: set(self.instance.callers.connections) - known)
-        return far, new.pop()
-
-    def served(self, caller: CallerEnd) -> str:
-        """One request through: its connection is at rest then, and is known to serve."""
-        ref = caller.ask()
-        self.runs(ref)
-        self.kernel.done(ref)
-        self.until("the answer", lambda: caller.by_id().get(caller.next_id))
+        self.kernel.send_event(event="BOOTED", fate="cold" if cold else "warm", lasted=60_000)
+        self.wait_until("the fence", lambda: b"fence" in self.kernel.read_available().data)
+        self.kernel.send_event(event="INFO", ticket="fence", figures=[0, 0, 0, 0])
+        self.wait_until("the link to be ready", lambda: self.instance.kernel.ready)
+
+    def connect(self) -> CallerEnd:
+        host, _, port = self.configuration["listen"].rpartition(":")
+        remote = CallerEnd(socket.create_connection((host, int(port)), timeout=MOST))
+        self.remote_ends.append(remote)
+        return remote
+
+    def connect_accepted(self) -> tuple[CallerEnd, Any]:
+        """Connects a caller; returns it with the instance's end of the accepted connection."""
+        known, remote = set(self.instance.callers.connections), self.connect()
+        new = self.wait_until("the connection", lambda: set(self.instance.callers.connections) - known)
+        return remote, new.pop()
+
+    def serve_request(self, caller: CallerEnd) -> str:
+        """Has one request served completely, so that the connection is idle afterwards."""
+        ref = caller.send_request()
+        self.wait_for_run(ref)
+        self.kernel.finish_run(ref)
+        self.wait_until("the answer", lambda: caller.answers_by_id().get(caller.next_id))
         return ref
 
-    def runs(self, ref: str) -> None:
-        self.until("the run", lambda: ref in [c["handle"] for c in self.kernel.commands("SCHED")])
+    def wait_for_run(self, ref: str) -> None:
+        self.wait_until("the run", lambda: ref in [c["handle"] for c in self.kernel.commands("SCHED")])
 
     def close(self) -> None:
         for loop in self.instance.loops:
@@ -253,18 +257,18 @@
         for each in self.reactor.removeAll():
             with suppress(Exception):
                 each.connectionLost(None) if hasattr(each, "socket") else each.fileno()
-        for far in self.fars:
-            far.close()
-        for made in (self.kernels, self.ledgers, self.roster):
+        for remote in self.remote_ends:
+            remote.close()
+        for made in (self.kernel_listener, self.ledger_listener, self.node_list_socket):
             made.close()
         with suppress(Exception):
             self.reactor._poller.close()
 
 
 @contextmanager
-def stepped(**changes: Any) -> Iterator[Stepped]:
-    """One instance, closed at the end; no defect may be in its log."""
-    made = Stepped(**changes)
+def stepped(**changes: Any) -> Iterator[SteppedInstance]:
+    """One instance, closed at the end; fails if its log has an exception or defect."""
+    made = SteppedInstance(**changes)
     try:
         yield made
         assert not [line for line in made.log.lines if line["code"] in ("exception", "reactor", "defect")]
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,6 +1,6 @@
-"""Two events that cross, forced: on loopback sockets whose reactor is turned by hand, and in memory.
+"""Races between two events, forced on loopback sockets with a stepped event loop, and in memory.
 
-docs/design/crossings.md has the table that these belong to.
+docs/design/crossings.md has the table of these races.
 """
 
 import errno
@@ -19,14 +19,19 @@
 import orjson
 import pytest
 from helpers import MOST, SAMPLE, Net, Wire, until
-from loopback import CallerEnd, Far, KernelEnd, address, bound, free_address, stepped
+from loopback import CallerEnd, KernelEnd, RemoteEnd, address, bound_socket, free_address, stepped
 from twisted.internet.error import CannotListenError, ConnectionRefusedError
 from twisted.python.failure import Failure
 
 from limeridge.facade import End
-from limeridge.net.callers import CLOSE_AFTER, DISCARDED_MOST, PARTING, close_listener
+from limeridge.net.callers import CLOSE_TIMEOUT_S, DISPLACED_DIVISOR, MAX_DISCARDED_BYTES, close_listener
 from limeridge.net.kernel import Dial
-from limeridge.net.service import LAST_CALL, LISTEN_EVERY, LISTEN_TRIES, PART
+from limeridge.net.service import (
+    CLOSE_STREAMS_BEFORE_KILL_S,
+    EXIT_BEFORE_KILL_S,
+    LISTEN_RETRY_S,
+    MAX_LISTEN_RETRIES,
+)
 
 ROOT = Path(__file__).parent.parent
 
@@ -35,53 +40,53 @@
 
 
 @pytest.mark.parametrize("code", ["farewell", "displaced", "silent", "half-message", "drain"])
-def test_a_close_over_unread_bytes_is_no_reset_and_what_crosses_it_is_not_run(code: str) -> None:
+def test_close_over_unread_request_sends_no_reset_and_runs_nothing(code: str) -> None:
     with stepped() as s:
-        caller, ours = s.standing()
-        s.served(caller)
-        crossing = caller.ask()
-        ours.close(code)  # the request lies in the socket, unread
-        s.until("the end of the stream", lambda: caller.pump().end)
+        caller, connection = s.connect_accepted()
+        s.serve_request(caller)
+        crossing = caller.send_request()
+        connection.close(code)  # the request is unread in the socket
+        s.wait_until("the end of the stream", lambda: caller.read_available().end)
         assert caller.end == "end", "a reset, which takes answers on their way with it"
-        s.turn(3)
+        s.iterate(3)
         assert crossing not in [c["handle"] for c in s.kernel.commands("SCHED")], "read late, run"
         caller.close()
-        s.until("the end of ours", lambda: ours not in s.instance.callers.connections)
+        s.wait_until("the end of ours", lambda: connection not in s.instance.callers.connections)
         assert s.log.codes("connection-end") == [code]
 
 
-def test_answers_on_their_way_survive_a_close_over_half_a_line() -> None:
+def test_answers_in_flight_survive_a_close_over_partial_header() -> None:
     with stepped() as s:
-        caller, ours = s.standing()
-        ref = caller.ask()
-        s.runs(ref)
-        s.kernel.done(ref)
-        s.until("the answer to be written", lambda: not ours.open)
+        caller, connection = s.connect_accepted()
+        ref = caller.send_request()
+        s.wait_for_run(ref)
+        s.kernel.finish_run(ref)
+        s.wait_until("the answer to be written", lambda: not connection.open_txns)
         caller.write(b"Content-Len")
-        ours.close("half-message")
-        s.until("the end of the stream", lambda: caller.answers() and caller.end)
-        assert caller.end == "end" and caller.by_id()[1]["result"]["doc"] == "eA=="
+        connection.close("half-message")
+        s.wait_until("the end of the stream", lambda: caller.messages() and caller.end)
+        assert caller.end == "end" and caller.answers_by_id()[1]["result"]["doc"] == "eA=="
 
 
-def test_what_was_read_before_a_spoilt_message_is_answered_then_the_stream_ends_in_order() -> None:
+def test_open_txns_are_answered_before_close_on_invalid_frame() -> None:
     with stepped() as s:
-        caller, ours = s.standing()
-        ref = caller.ask()
-        s.runs(ref)
+        caller, connection = s.connect_accepted()
+        ref = caller.send_request()
+        s.wait_for_run(ref)
         caller.write(b"GARBAGE WITHOUT END\r\n\r\n" + b"x" * 5_000)
-        s.until("the fault", lambda: ours.spoiled)
+        s.wait_until("the fault", lambda: connection.stop_code)
         caller.write(b"and more" * 1_000)
-        s.kernel.done(ref)
-        s.until("the end of the stream", lambda: caller.answers() and caller.end)
-        assert caller.end == "end" and caller.by_id()[1]["result"]["doc"] == "eA=="
+        s.kernel.finish_run(ref)
+        s.wait_until("the end of the stream", lambda: caller.messages() and caller.end)
+        assert caller.end == "end" and caller.answers_by_id()[1]["result"]["doc"] == "eA=="
 
 
-def test_a_peer_that_sends_on_after_the_end_is_read_up_to_a_bound_and_then_cut() -> None:
+def test_peer_that_keeps_sending_after_close_is_aborted_at_a_limit() -> None:
     with stepped() as s:
-        caller, ours = s.standing()
-        ours.close("silent")
+        caller, connection = s.connect_accepted()
+        connection.close("silent")
         sent = 0
-        # Longer than the test may take, so that nothing else ends it.
+        # The clock stands still, so that no timeout closes the connection.
         s.instance.callers.clock = SimpleNamespace(seconds=lambda: 0.0)
 
         def cut() -> bool:
@@ -94,78 +99,80 @@
                 return True
             return False
 
-        s.until("the cut", cut)
-        assert sent > DISCARDED_MOST and ours not in s.instance.callers.connections
+        s.wait_until("the cut", cut)
+        assert sent > MAX_DISCARDED_BYTES and connection not in s.instance.callers.connections
 
 
-def test_one_that_never_closes_its_own_end_is_cut_after_a_while_and_takes_no_place() -> None:
+def test_peer_that_never_closes_its_end_is_aborted_after_a_timeout() -> None:
     net = Net()
     net.boot()
     caller = net.caller()
     caller.close("silent")
     assert caller.transport.half_closed and not caller.transport.disconnected
-    net.pass_time(CLOSE_AFTER + 0.2)
+    net.pass_time(CLOSE_TIMEOUT_S + 0.2)
     assert caller.transport.disconnected
 
 
-def test_one_that_is_being_closed_and_has_to_make_room_is_cut_and_not_forgotten() -> None:
+def test_half_closed_connection_that_is_displaced_is_aborted() -> None:
     net = Net(limits={"sockets": 128})
     net.boot()
     callers = net.instance.callers
-    silent = [net.caller() for _ in range(callers.most)]
+    silent = [net.caller() for _ in range(callers.max_connections)]
     net.pass_time(2.3)
     assert all(each.transport.half_closed and not each.transport.disconnected for each in silent)
-    newcomer = net.caller()
-    assert newcomer in callers.connections
+    new_caller = net.caller()
+    assert new_caller in callers.connections
     [cut] = [each for each in silent if each not in callers.connections]
     assert cut.transport.disconnected, "out of the table, and its descriptor held for ever"
 
 
-def test_a_resting_connection_that_gives_way_hears_a_farewell_and_what_crosses_it_is_served() -> None:
+def test_displaced_idle_connection_gets_a_farewell_and_its_crossing_request_is_served() -> None:
     with stepped(limits={"sockets": 64}) as s:
         callers = s.instance.callers
-        resting, ours = s.standing()
-        s.served(resting)
+        idle, connection = s.connect_accepted()
+        s.serve_request(idle)
         others = []
-        while len(callers.connections) < callers.most - callers.most // PARTING:
-            other, _ = s.standing()
-            s.served(other)
+        while (
+            len(callers.connections) < callers.max_connections - callers.max_connections // DISPLACED_DIVISOR
+        ):
+            other, _ = s.connect_accepted()
+            s.serve_request(other)
             others.append(other)
-        s.until(
+        s.wait_until(
             "the first to have rested a while",
-            lambda: s.reactor.seconds() - max(c.heard for c in callers.connections) > 0.06,
+            lambda: s.reactor.seconds() - max(c.last_active_at for c in callers.connections) > 0.06,
         )
-        crossing = resting.ask()  # unread when the newcomer comes
+        crossing = idle.send_request()  # unread when the newcomer connects
         known = set(callers.connections)
-        newcomer = s.caller()
-        # The newcomer is taken first, so that the farewell and the request cross.
-        s.instance.port.doRead()
-        assert set(callers.connections) - known and ours in callers.parting
-        s.runs(crossing)
-        s.kernel.done(crossing)
-        s.until("the answer", lambda: resting.by_id().get(2))
-        assert resting.said_farewell() and resting.by_id()[2]["result"]["doc"] == "eA=="
-        s.served(newcomer)
-        resting.close()
-        s.until("its end", lambda: ours not in callers.connections)
-        assert s.log.codes("connection-end") == ["displaced"] and not callers.parting
-
-
-def test_an_answer_to_a_connection_that_another_replaced_goes_nowhere_and_breaks_nothing() -> None:
+        new_caller = s.connect()
+        # The newcomer is accepted first, so that the farewell and the request cross.
+        s.instance.listening_port.doRead()
+        assert set(callers.connections) - known and connection in callers.being_displaced
+        s.wait_for_run(crossing)
+        s.kernel.finish_run(crossing)
+        s.wait_until("the answer", lambda: idle.answers_by_id().get(2))
+        assert idle.received_farewell() and idle.answers_by_id()[2]["result"]["doc"] == "eA=="
+        s.serve_request(new_caller)
+        idle.close()
+        s.wait_until("its end", lambda: connection not in callers.connections)
+        assert s.log.codes("connection-end") == ["displaced"] and not callers.being_displaced
+
+
+def test_answer_to_a_reset_connection_is_dropped() -> None:
     with stepped() as s:
-        caller, _ = s.standing()
-        ref = caller.ask()
-        s.runs(ref)
-        again, _ = s.standing()
+        caller, _ = s.connect_accepted()
+        ref = caller.send_request()
+        s.wait_for_run(ref)
+        again, _ = s.connect_accepted()
         caller.reset()
-        s.kernel.done(ref)
-        s.until("the run to be over", lambda: not s.instance.jobs)
-        s.served(again)
+        s.kernel.finish_run(ref)
+        s.wait_until("the run to be over", lambda: not s.instance.jobs)
+        s.serve_request(again)
         assert s.log.codes("connection-end") == ["peer-reset"] and not s.instance.facade.owed()
 
 
-def test_no_small_write_of_ours_is_ever_held_back() -> None:
-    """On each socket of ours, before the first write."""
+def test_tcp_no_delay_is_set_before_the_first_write() -> None:
+    """For each kind of connection."""
     net = Net()
     net.boot()
     caller = net.caller()
@@ -177,218 +184,224 @@
         assert transport.no_delay and transport.before_no_delay == b""
 
 
-def test_a_paused_reader_gets_its_answers_before_the_end() -> None:
-    """Its answers wait with us as it does not read; the end of the process is no reason to lose them."""
+def test_peer_that_paused_reading_gets_its_answers_before_the_close() -> None:
+    """Its answers are buffered while it does not read; the exit of the process must not lose them."""
     with stepped() as s:
-        caller, ours = s.standing()
-        ours.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 16_384)
+        caller, connection = s.connect_accepted()
+        connection.transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 16_384)
         doc = "A" * 4_000
         asked = 0
-        while not ours.backlog:
-            ref = caller.ask()
+        while not connection.backlog:
+            ref = caller.send_request()
             asked += 1
-            s.runs(ref)
-            s.kernel.done(ref, doc)
-            s.until("the answer to be given", lambda: not ours.open)
+            s.wait_for_run(ref)
+            s.kernel.finish_run(ref, doc)
+            s.wait_until("the answer to be given", lambda: not connection.open_txns)
         assert asked < 200
-        s.instance.leave()
-        s.turn(2)
-        s.instance.part()
-        s.until("all answers and the end", lambda: (caller.answers(), caller.end)[1])
-        assert caller.end == "end" and len(caller.by_id()) == asked
+        s.instance.start_drain()
+        s.iterate(2)
+        s.instance.close_streams()
+        s.wait_until("all answers and the end", lambda: (caller.messages(), caller.end)[1])
+        assert caller.end == "end" and len(caller.answers_by_id()) == asked
 
 
 # ---- shutdown
 
 
-def test_the_listening_socket_is_closed_in_the_turn_in_which_its_backlog_was_read() -> None:
-    """Else a connection made in between stands, and is reset with the request that it wrote."""
+def test_listening_socket_is_closed_in_the_iteration_that_empties_its_backlog() -> None:
+    """Otherwise a connection made in between is established, and then reset together with its request."""
     with stepped() as s:
-        port = s.instance.port
-        port.numberAccepts = 1  # as after a quiet turn
-        waiting = [s.caller() for _ in range(30)]
-        refs = [caller.ask() for caller in waiting]
-        s.instance.leaving, s.instance.shut = True, True
+        port = s.instance.listening_port
+        port.numberAccepts = 1  # as after an iteration with few connections
+        waiting = [s.connect() for _ in range(30)]
+        refs = [caller.send_request() for caller in waiting]
+        s.instance.draining, s.instance.stopped_accepting = True, True
         close_listener(port)
         assert len(s.instance.callers.connections) == 30, "left in the backlog, to be reset"
         with pytest.raises(OSError, match="refused"):
-            s.caller()
-        s.until("the requests that they wrote", lambda: len(s.instance.jobs) == len(refs))
+            s.connect()
+        s.wait_until("the requests that they wrote", lambda: len(s.instance.jobs) == len(refs))
         for caller in waiting:
-            assert caller.said_farewell() and not caller.end
+            assert caller.received_farewell() and not caller.end
 
 
-def test_a_backlog_larger_than_the_table_is_emptied_whole() -> None:
+def test_backlog_above_the_connection_limit_is_emptied() -> None:
     with stepped(limits={"sockets": 64}) as s:
-        waiting = [s.caller() for _ in range(60)]
+        waiting = [s.connect() for _ in range(60)]
         for caller in waiting:
-            caller.check()
-        close_listener(s.instance.port)
-        s.until(
+            caller.send_heartbeat()
+        close_listener(s.instance.listening_port)
+        s.wait_until(
             "all to hear or to be turned away",
-            lambda: all(caller.answers() or caller.end for caller in waiting),
+            lambda: all(caller.messages() or caller.end for caller in waiting),
         )
-        assert sum(bool(caller.heard) for caller in waiting) >= s.instance.callers.most // 2
-        assert len(s.instance.callers.connections) <= s.instance.callers.most
+        assert sum(bool(caller.received) for caller in waiting) >= s.instance.callers.max_connections // 2
+        assert len(s.instance.callers.connections) <= s.instance.callers.max_connections
 
 
 @pytest.mark.parametrize("grace", [0, 300_000])
-def test_a_request_read_after_the_notice_runs_within_the_grace_and_is_declined_after_it(grace: int) -> None:
+def test_request_read_after_the_signal_runs_within_the_grace_period_only(grace: int) -> None:
     settings = SAMPLE["settings"] | {"guarantees": SAMPLE["settings"]["guarantees"] | {"drainGrace": grace}}
     with stepped(settings=settings, stop_ms=20_000) as s:
-        caller, _ = s.standing()
-        s.served(caller)
-        s.instance.leave()
+        caller, _ = s.connect_accepted()
+        s.serve_request(caller)
+        s.instance.start_drain()
         now = time.time() * 1000
-        ref = caller.ask(s=int(now + 1_000 * (grace == 0)))  # grace 0: it landed a moment after the notice
+        ref = caller.send_request(s=int(now + 1_000 * (grace == 0)))  # grace 0: sent just after the signal
         if grace:
-            s.runs(ref)
-            s.kernel.done(ref)
-        answer = s.until("the answer", lambda: caller.by_id().get(2))
+            s.wait_for_run(ref)
+            s.kernel.finish_run(ref)
+        answer = s.wait_until("the answer", lambda: caller.answers_by_id().get(2))
         assert ("result" in answer) == (grace > 0)
         if not grace:
             assert answer["error"]["code"] == -32008 and s.kernel.commands("SCHED")[-1]["handle"] != ref
 
 
-def test_a_request_that_crosses_the_farewell_of_the_drain_is_answered() -> None:
+def test_request_that_crosses_the_drain_farewell_is_answered() -> None:
     with stepped(stop_ms=20_000) as s:
-        caller, _ = s.standing()
-        s.served(caller)
-        s.instance.leave()
-        caller.ask()  # unread while the door is shut
-        s.instance.shut_door()
-        answer = s.until(
+        caller, _ = s.connect_accepted()
+        s.serve_request(caller)
+        s.instance.start_drain()
+        caller.send_request()  # unread when accepting stops
+        s.instance.stop_accepting()
+        answer = s.wait_until(
             "its answer",
-            lambda: caller.by_id().get(2)
-            or ([s.kernel.done(c["handle"]) for c in s.kernel.commands("SCHED")[1:]] and None),
+            lambda: caller.answers_by_id().get(2)
+            or ([s.kernel.finish_run(c["handle"]) for c in s.kernel.commands("SCHED")[1:]] and None),
         )
-        assert caller.said_farewell() and ("result" in answer or answer["error"]["code"] == -32008)
+        assert caller.received_farewell() and ("result" in answer or answer["error"]["code"] == -32008)
 
 
-def test_what_the_last_turn_read_is_answered_before_the_streams_end() -> None:
+def test_requests_read_in_the_last_iteration_are_answered_before_the_close() -> None:
     with stepped(stop_ms=1_000) as s:
-        caller, _ = s.standing()
-        s.served(caller)
-        s.instance.leave()
-        s.until(
+        caller, _ = s.connect_accepted()
+        s.serve_request(caller)
+        s.instance.start_drain()
+        s.wait_until(
             "the time in which nothing more is begun", lambda: s.reactor.seconds() > s.instance.kill_at - 0.2
         )
-        caller.ask()
-        s.until("it to be read", lambda: s.instance.jobs or caller.by_id().get(2))
-        s.instance.part()  # in the very turn: the brain was not asked yet
-        s.until("the end of the stream", lambda: caller.answers() and caller.end)
-        assert caller.end == "end" and caller.by_id()[2]["error"]["code"] == -32008
+        caller.send_request()
+        s.wait_until("it to be read", lambda: s.instance.jobs or caller.answers_by_id().get(2))
+        s.instance.close_streams()  # in the same iteration, before the brain has decided
+        s.wait_until("the end of the stream", lambda: caller.messages() and caller.end)
+        assert caller.end == "end" and caller.answers_by_id()[2]["error"]["code"] == -32008
         assert not s.instance.facade.owed()
 
 
-def test_a_run_that_ends_in_the_turn_of_the_last_look_changes_no_answer() -> None:
+def test_run_that_ends_during_the_final_close_changes_no_answer() -> None:
     with stepped(stop_ms=600) as s:
-        caller, _ = s.standing()
-        ref = caller.ask()
-        s.runs(ref)
-        s.instance.leave()
-        s.until("the time of the last look", lambda: s.reactor.seconds() > s.instance.kill_at - PART + 0.01)
-        s.kernel.done(ref)
-        s.until("the end", lambda: caller.pump().end)
-        assert caller.end == "end" and len(caller.by_id()) == 1
-        s.until("the process's own end", lambda: s.ended)
-
-
-def test_the_connections_end_before_the_process_does() -> None:
+        caller, _ = s.connect_accepted()
+        ref = caller.send_request()
+        s.wait_for_run(ref)
+        s.instance.start_drain()
+        s.wait_until(
+            "the time of the last look",
+            lambda: s.reactor.seconds() > s.instance.kill_at - CLOSE_STREAMS_BEFORE_KILL_S + 0.01,
+        )
+        s.kernel.finish_run(ref)
+        s.wait_until("the end", lambda: caller.read_available().end)
+        assert caller.end == "end" and len(caller.answers_by_id()) == 1
+        s.wait_until("the process's own end", lambda: s.stopped)
+
+
+def test_connections_are_closed_before_the_process_exits() -> None:
     net = Net()
     net.boot()
     caller = net.caller()
     stopped: list[bool] = []
     net.reactor.stop = lambda: stopped.append(True)  # type: ignore[method-assign]
-    net.instance.leave()
+    net.instance.start_drain()
     stop = net.instance.kill_at - net.reactor.seconds()
-    net.pass_time(stop - PART + 0.02)
+    net.pass_time(stop - CLOSE_STREAMS_BEFORE_KILL_S + 0.02)
     assert caller.transport.half_closed and not stopped
-    net.pass_time(PART - LAST_CALL + 0.06)
+    net.pass_time(CLOSE_STREAMS_BEFORE_KILL_S - EXIT_BEFORE_KILL_S + 0.06)
     assert stopped
 
 
-def test_a_notice_with_hardly_any_time_shuts_the_door_once() -> None:
+def test_drain_with_hardly_any_time_stops_accepting_once() -> None:
     with stepped(stop_ms=100) as s:
-        caller, _ = s.standing()
-        s.served(caller)
-        caller.ask()
-        s.instance.leave()
-        while s.reactor.seconds() < s.instance.kill_at - 0.04:  # a pause: all is due at once
+        caller, _ = s.connect_accepted()
+        s.serve_request(caller)
+        caller.send_request()
+        s.instance.start_drain()
+        # A pause, after which all timers are due at once.
+        while s.reactor.seconds() < s.instance.kill_at - 0.04:
             pass
-        s.until("the end of the stream", lambda: caller.answers() and caller.end)
-        assert caller.end == "end" and caller.by_id()[2]["error"]["code"] == -32008
-        s.until("the process's own end", lambda: s.ended)
+        s.wait_until("the end of the stream", lambda: caller.messages() and caller.end)
+        assert caller.end == "end" and caller.answers_by_id()[2]["error"]["code"] == -32008
+        s.wait_until("the process's own end", lambda: s.stopped)
         assert not [line for line in s.log.lines if line["event"] == "service-fault"]
 
 
-def test_a_notice_to_leave_while_the_address_is_still_held_ends_the_process_and_listens_no_more() -> None:
+def test_drain_while_the_address_is_in_use_ends_the_listen_retries() -> None:
     net = Net()
     tried: list[int] = []
 
-    def held(*_: Any) -> None:
+    def refuse_listen(*_: Any) -> None:
         tried.append(1)
         raise CannotListenError("", 1, OSError(errno.EADDRINUSE, "in use"))
 
-    net.reactor.listenTCP = held  # type: ignore[method-assign]
-    net.instance.listen(LISTEN_TRIES)
+    net.reactor.listenTCP = refuse_listen  # type: ignore[method-assign]
+    net.instance.listen(MAX_LISTEN_RETRIES)
     net.pass_time(0.2)
     before = len(tried)
     assert before > 2
     stopped: list[bool] = []
     net.reactor.stop = lambda: stopped.append(True)  # type: ignore[method-assign]
-    net.instance.leave()
-    net.instance.leave()
+    net.instance.start_drain()
+    net.instance.start_drain()
     net.pass_time(2.0)
     assert len(tried) == before and stopped and net.instance.exit_code == 0
     assert net.log.codes("drain") == ["begun", "again", "done"]
 
 
-def test_an_address_that_a_dying_predecessor_holds_is_waited_for_and_one_that_is_not_ours_is_not() -> None:
+def test_address_in_use_is_retried_without_limit_and_foreign_address_is_not() -> None:
     for number, code in ((errno.EADDRINUSE, 0), (errno.EADDRNOTAVAIL, 1)):
         net = Net()
         stopped: list[bool] = []
         net.reactor.stop = lambda: stopped.append(True)  # type: ignore[method-assign] # noqa: B023
 
-        def held(*_: Any, number: int = number) -> None:
+        def refuse_listen(*_: Any, number: int = number) -> None:
             raise CannotListenError("", 1, OSError(number, os.strerror(number)))
 
-        there, net.reactor.listenTCP = net.reactor.listenTCP, held  # type: ignore[method-assign]
-        net.instance.listen(LISTEN_TRIES)
-        net.pass_time(4 * LISTEN_TRIES * LISTEN_EVERY)
+        there, net.reactor.listenTCP = net.reactor.listenTCP, refuse_listen  # type: ignore[method-assign]
+        net.instance.listen(MAX_LISTEN_RETRIES)
+        net.pass_time(4 * MAX_LISTEN_RETRIES * LISTEN_RETRY_S)
         assert bool(stopped) == bool(code) and net.instance.exit_code == code
-        net.reactor.listenTCP, net.instance.port = there, None  # type: ignore[method-assign]
+        net.reactor.listenTCP, net.instance.listening_port = there, None  # type: ignore[method-assign]
         net.pass_time(0.2)
-        assert (net.instance.port is not None) == (not code), "it listens once the predecessor has gone"
+        assert (net.instance.listening_port is not None) == (not code), (
+            "it listens once the predecessor has gone"
+        )
         assert set(net.log.codes("listen")) == {"unusable" if code else "taken"}
-        assert len(net.log.codes("listen")) <= LISTEN_TRIES + 1
+        assert len(net.log.codes("listen")) <= MAX_LISTEN_RETRIES + 1
 
 
-# ---- the kernel's link
+# ---- link to the kernel
 
 
-def test_commands_written_last_reach_the_old_kernel_though_its_notices_lie_unread() -> None:
-    """A reply is never sent again, so one that is lost with the old link costs its request."""
+def test_last_commands_reach_the_old_kernel_despite_unread_notices() -> None:
+    """A reply is never sent again, so one that is lost with the old link fails its txn."""
     with stepped() as s:
         kernel, old = s.instance.kernel, s.kernel
-        caller, _ = s.standing()
-        ref = caller.ask("book", k="a")
-        s.runs(ref)
-        old.note(event="IOREQ", handle=ref, arg="Y2FsbA==")
-        call = s.accepted(s.ledgers, Far)
-        s.until("the call", lambda: b"\r\n\r\n" in call.pump().data)
+        caller, _ = s.connect_accepted()
+        ref = caller.send_request("book", k="a")
+        s.wait_for_run(ref)
+        old.send_notice(event="IOREQ", handle=ref, arg="Y2FsbA==")
+        call = s.accept(s.ledger_listener, RemoteEnd)
+        s.wait_until("the call", lambda: b"\r\n\r\n" in call.read_available().data)
         call.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nreply")
-        s.until(
+        s.wait_until(
             "the reply to be commanded", lambda: ref in kernel.uncarried and kernel.uncarried[ref].replies_to
         )
-        old.note(event="DMESG", fate="on its way")  # unread as the new link stands
+        old.send_notice(event="DMESG", fate="on its way")  # unread when the new link is connected
         kernel.dial = Dial(kernel)
         kernel.dial.buildProtocol(None).makeConnection(Wire())
-        s.until("the end of the old stream", lambda: old.pump().end)
+        s.wait_until("the end of the old stream", lambda: old.read_available().end)
         assert old.end == "end" and [c["handle"] for c in old.commands("IODONE")] == [ref]
 
 
-def test_a_request_that_comes_before_the_kernel_is_up_does_not_hide_that_it_is_cold() -> None:
+def test_request_before_the_kernel_is_up_does_not_hide_a_cold_start() -> None:
     net = Net(
         settings=SAMPLE["settings"]
         | {"familyInfo": SAMPLE["settings"]["familyInfo"] | {"justStarted": False}}
@@ -406,7 +419,7 @@
     assert answer["result"]["doc"] == "eA==" and answer["result"]["v"] < 0.5
 
 
-def test_a_link_lost_in_the_turn_of_its_resume_sends_nothing_twice() -> None:
+def test_link_lost_while_resuming_sends_nothing_twice() -> None:
     net = Net()
     net.boot()
     caller = net.caller()
@@ -418,7 +431,7 @@
     net.tell(event="BOOTED", fate="warm", lasted=60_000)
     lost = net.link
     net.tell(event="INFO", ticket="fence", figures=[0, 0, 0, 0])
-    net.lose(net.link, clean=False)  # in the turn of the resume
+    net.lose(net.link, clean=False)  # in the iteration of the resume
     lost.dataReceived(b'{"event":"REAP","cursor":1,"handle":"%b","fate":"failed"}\n' % ref.encode())
     net.pass_time(0.2)
     net.boot(again=[{"event": "REAP", "cursor": 1, "handle": ref, "fate": "ok", "lasted": 5, "arg": "eA=="}])
@@ -426,7 +439,7 @@
     assert [a["result"]["doc"] for a in net.answers(caller)] == ["eA=="]
 
 
-def test_a_link_that_is_refused_for_long_is_there_soon_after_the_kernel_is() -> None:
+def test_refused_link_is_retried_often_enough() -> None:
     net = Net()
     for _ in range(20):
         net.reactor.advance(0)
@@ -438,7 +451,7 @@
 # ---- the node list
 
 
-def test_a_socket_for_reports_that_can_t_be_had_at_the_start_is_tried_for_again() -> None:
+def test_report_socket_that_fails_at_start_is_retried() -> None:
     net = Net()
     net.instance.node_list.transport = None
     good = net.reactor.listenUDP
@@ -457,14 +470,14 @@
     assert set(net.reactor.reports) == {b"HERE n1 on"} and "no-socket" in net.log.codes("reports")
 
 
-def test_a_list_that_moves_while_it_is_down_and_while_we_drain_hears_from_us_at_its_new_place() -> None:
+def test_node_list_that_moves_gets_reports_at_its_new_address() -> None:
     net = Net()
     net.boot()
     net.pass_time(0.4)
     net.file |= {"roster": "127.0.3.3:7947"}
     net.instance.reload()
     assert net.reactor.reported_to == ("127.0.3.3", 7947)
-    net.instance.leave()
+    net.instance.start_drain()
     assert net.reactor.reports[-1] == b"HERE n1 off"
     net.file |= {"roster": "127.0.3.4:7948"}
     net.instance.reload()
@@ -476,8 +489,8 @@
 # ---- configuration
 
 
-# What the sample says of an instance and the other file does not, and can't change while it runs.
-NOT_LIVE = (
+# Settings that only the sample file has, and that need a restart.
+NEED_RESTART = (
     "callsOver",
     "gauges",
     "justStarted",
@@ -490,7 +503,7 @@
 )
 
 
-def test_another_customer_s_settings_in_a_reload_change_addresses_and_tenants_alone() -> None:
+def test_reload_of_foreign_settings_changes_only_addresses_and_tenants() -> None:
     net = Net()
     net.boot()
     caller = net.caller()
@@ -508,7 +521,7 @@
     [line] = [line for line in net.log.lines if line["event"] == "reload"]
     assert line["moved"] == ["ledger"]
     stay = {"memory_mb", "sockets", "settings.classes", "settings.familyInfo.cpus"}
-    stay |= {f"settings.familyInfo.{name}" for name in NOT_LIVE}
+    stay |= {f"settings.familyInfo.{name}" for name in NEED_RESTART}
     assert set(line["needs_restart"]) == stay and len(line["needs_restart"]) == len(stay)
     net.ask(caller, 1, "other")
     assert net.answers(caller)[0]["error"]["message"] == "unknown class"
@@ -518,27 +531,27 @@
     assert [c["handle"] for c in net.commands()] == [ref]
 
 
-def test_two_notices_of_new_configuration_at_once_and_one_in_the_middle_of_a_drain() -> None:
+def test_two_reloads_at_once_during_a_drain() -> None:
     with stepped(stop_ms=20_000) as s:
-        place = bound()
+        place = bound_socket()
         place.listen(8)
         place.setblocking(False)
-        s.file = s.file | {"kernel": address(place)}
-        s.instance.leave()
+        s.configuration = s.configuration | {"kernel": address(place)}
+        s.instance.start_drain()
         s.instance.reload()
-        s.instance.reload()  # the address is the same now: the dial that is under way is the one
+        s.instance.reload()  # same address, so the pending connection attempt is kept
         s.boot(listener=place)
-        assert s.log.codes("reload") == ["taken", "taken"] and s.instance.leaving
-        s.until("the end of the old link", lambda: s.fars[0].pump().end)
+        assert s.log.codes("reload") == ["taken", "taken"] and s.instance.draining
+        s.wait_until("the end of the old link", lambda: s.remote_ends[0].read_available().end)
         with suppress(BlockingIOError):
             place.accept()
             raise AssertionError("a second link")
         place.close()
 
 
-def test_a_notice_that_comes_before_there_is_anybody_to_take_it_is_taken_later(tmp_path: Path) -> None:
-    """The real process. Its configuration is a pipe, so that it is read when we say: the notice comes between
-    the reading and the taking over of signals."""
+def test_sighup_before_the_handler_is_installed_is_handled_later(tmp_path: Path) -> None:
+    """SIGHUP to a real process between its start of reading the configuration, which is a named pipe, and the
+    installation of its signal handlers."""
     config, pipe = SAMPLE | {"listen": free_address(), "kernel": "127.0.0.1:9"}, tmp_path / "config"
     os.mkfifo(pipe)
     with (tmp_path / "log").open("wb") as log:
@@ -553,7 +566,7 @@
         made: list[int] = []
 
         def read_by_it() -> bool:
-            with suppress(OSError):  # nobody reads yet
+            with suppress(OSError):  # the process has not opened it yet
                 made.append(os.open(pipe, os.O_WRONLY | os.O_NONBLOCK))
             return bool(made)
 
@@ -571,104 +584,110 @@
 
 
 @pytest.mark.parametrize("times", [1, 2])
-def test_a_notice_to_leave_beside_an_unread_request_loses_nothing(times: int, tmp_path: Path) -> None:
-    """The real process stands still while both arrive."""
+def test_drain_signal_beside_unread_requests_loses_nothing(times: int, tmp_path: Path) -> None:
+    """A real process is stopped while the request and the signal arrive."""
     with process(tmp_path) as p:
-        caller = p.caller()
-        caller.check()
-        p.until("an answer", lambda: caller.by_id().get(1))
-        p.child.send_signal(signal.SIGSTOP)
-        ref = caller.ask()
-        late = p.caller()  # in the backlog
-        late.ask()
+        caller = p.connect()
+        caller.send_heartbeat()
+        p.wait_until("an answer", lambda: caller.answers_by_id().get(1))
+        p.process.send_signal(signal.SIGSTOP)
+        ref = caller.send_request()
+        late = p.connect()  # in the backlog
+        late.send_request()
         for notice in (signal.SIGTERM, signal.SIGINT)[:times]:
-            p.child.send_signal(notice)
-        p.child.send_signal(signal.SIGCONT)
+            p.process.send_signal(notice)
+        p.process.send_signal(signal.SIGCONT)
         done: set[str] = set()
 
         def answered() -> bool:
             for command in p.kernel.commands("SCHED"):
                 if command["handle"] not in done:
                     done.add(command["handle"])
-                    p.kernel.done(command["handle"])
-            return bool(caller.by_id().get(2) and late.by_id().get(1))
+                    p.kernel.finish_run(command["handle"])
+            return bool(caller.answers_by_id().get(2) and late.answers_by_id().get(1))
 
-        p.until("both answers", answered)
-        assert ref in done and "result" in caller.by_id()[2]
+        p.wait_until("both answers", answered)
+        assert ref in done and "result" in caller.answers_by_id()[2]
         for each in (caller, late):
             each.close()
-        assert p.child.wait(MOST) == 0
-        assert (b'"code":"again"' in p.told()) == (times == 2)
+        assert p.process.wait(MOST) == 0
+        assert (b'"code":"again"' in p.log_bytes()) == (times == 2)
 
 
-class Process:
-    """A real process of the program; the far ends are the test's own sockets."""
+class RealProcess:
+    """A real process; the remote ends are sockets of the test."""
 
     def __init__(self, folder: Path, **changes: Any) -> None:
-        self.kernels, self.ledgers, self.roster = bound(), bound(), bound(socket.SOCK_DGRAM)
-        for made in (self.kernels, self.ledgers):
+        self.kernel_listener, self.ledger_listener, self.node_list_socket = (
+            bound_socket(),
+            bound_socket(),
+            bound_socket(socket.SOCK_DGRAM),
+        )
+        for made in (self.kernel_listener, self.ledger_listener):
             made.listen(64)
             made.settimeout(MOST)
-        self.config = (
+        self.configuration = (
             SAMPLE
             | {
                 "listen": free_address(),
-                "kernel": address(self.kernels),
-                "records": address(self.ledgers),
-                "roster": address(self.roster),
+                "kernel": address(self.kernel_listener),
+                "records": address(self.ledger_listener),
+                "roster": address(self.node_list_socket),
                 "stop_ms": 8_000,
             }
             | changes
         )
-        (folder / "config.json").write_bytes(orjson.dumps(self.config))
+        (folder / "config.json").write_bytes(orjson.dumps(self.configuration))
         self.log = folder / "log"
         with self.log.open("wb") as log:
             env = os.environ | {"BALANCER_CONFIG": str(folder / "config.json")}
-            self.child = subprocess.Popen(
+            self.process = subprocess.Popen(
                 [sys.executable, "-m", "limeridge"], stdout=log, stderr=log, cwd=ROOT, env=env
             )
         self.kernel: Any = None
 
-    def told(self) -> bytes:
+    def log_bytes(self) -> bytes:
         return self.log.read_bytes()
 
-    def until(self, what: str, held: Any) -> Any:
+    def wait_until(self, description: str, condition: Any) -> Any:
         end = time.monotonic() + MOST
-        while not (found := held()):
-            in_time = time.monotonic() < end and self.child.poll() is None
-            assert in_time, f"not within {MOST:g} s: {what}; its log ends with {self.told()[-2_000:]!r}"
+        while not (found := condition()):
+            in_time = time.monotonic() < end and self.process.poll() is None
+            assert in_time, (
+                f"not within {MOST:g} s: {description}; its log ends with {self.log_bytes()[-2_000:]!r}"
+            )
             time.sleep(0.005)
         return found
 
     def boot(self) -> None:
-        self.kernel = KernelEnd(self.kernels.accept()[0])
-        self.until("the opening", lambda: self.kernel.commands("OPEN"))
-        self.kernel.tell(event="BOOTED", fate="warm", lasted=60_000)
-        self.until("the fence", lambda: b"fence" in self.kernel.pump().data)
-        self.kernel.tell(event="INFO", ticket="fence", figures=[0, 0, 0, 0])
-
-    def caller(self) -> CallerEnd:
-        host, _, port = str(self.config["listen"]).rpartition(":")
+        self.kernel = KernelEnd(self.kernel_listener.accept()[0])
+        self.wait_until("the opening", lambda: self.kernel.commands("OPEN"))
+        self.kernel.send_event(event="BOOTED", fate="warm", lasted=60_000)
+        self.wait_until("the fence", lambda: b"fence" in self.kernel.read_available().data)
+        self.kernel.send_event(event="INFO", ticket="fence", figures=[0, 0, 0, 0])
+
+    def connect(self) -> CallerEnd:
+        host, _, port = str(self.configuration["listen"]).rpartition(":")
         return CallerEnd(socket.create_connection((host, int(port)), timeout=MOST))
 
 
 @contextmanager
-def process(folder: Path, **changes: Any) -> Iterator[Process]:
-    made = Process(folder, **changes)
+def process(folder: Path, **changes: Any) -> Iterator[RealProcess]:
+    made = RealProcess(folder, **changes)
     try:
         made.boot()
-        made.until("it to listen", lambda: connects(made))
+        made.wait_until("it to listen", lambda: connects(made))
         yield made
         for fault in (b'"exception"', b'"reactor"', b'"defect"'):
-            assert fault not in made.told()
+            assert fault not in made.log_bytes()
     finally:
-        if made.child.poll() is None:
-            made.child.kill()
-            made.child.wait()
+        if made.process.poll() is None:
+            made.process.kill()
+            made.process.wait()
 
 
-def connects(of: Process) -> bool:
-    host, _, port = str(of.config["listen"]).rpartition(":")
+def connects(of: RealProcess) -> bool:
+    host, _, port = str(of.configuration["listen"]).rpartition(":")
     with socket.socket() as probe:
         return probe.connect_ex((host, int(port))) == 0
 
@@ -676,91 +695,94 @@
 # ---- descriptors
 
 
-def descriptors(p: Process) -> int:
-    return len(list(Path(f"/proc/{p.child.pid}/fd").iterdir()))
+def descriptors(p: RealProcess) -> int:
+    return len(list(Path(f"/proc/{p.process.pid}/fd").iterdir()))
 
 
-def processor_seconds(p: Process) -> float:
-    fields = Path(f"/proc/{p.child.pid}/stat").read_text().rpartition(")")[2].split()
+def processor_seconds(p: RealProcess) -> float:
+    fields = Path(f"/proc/{p.process.pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def newcomer(p: Process) -> CallerEnd:
-    """As a usual caller comes: one that is turned away at the door comes again."""
+def connect_regular(p: RealProcess) -> CallerEnd:
+    """Connects like a regular caller, which retries when its connection is rejected."""
     found: list[CallerEnd] = []
 
     def heard() -> bool:
-        if not found or found[-1].pump().end:
+        if not found or found[-1].read_available().end:
             with suppress(OSError):
-                found.append(p.caller())
-                found[-1].check()
-        return bool(found and found[-1].by_id())
+                found.append(p.connect())
+                found[-1].send_heartbeat()
+        return bool(found and found[-1].answers_by_id())
 
-    p.until("a place for a usual caller", heard)
+    p.wait_until("a place for a usual caller", heard)
     assert len(found) < 20, "turned away again and again"
     return found[-1]
 
 
 @pytest.mark.skipif(not Path("/proc/self/stat").exists(), reason="looks at /proc")
-@pytest.mark.parametrize("says", ["nothing", "checks", "half a message"])
-def test_idle_clients_may_fill_the_descriptors_while_the_list_is_down(says: str, tmp_path: Path) -> None:
-    """Requests of usual callers, the kernel's link and its relink, calls and reports still find theirs."""
+@pytest.mark.parametrize("sends", ["nothing", "checks", "half a message"])
+def test_idle_clients_that_fill_the_descriptors_block_nothing(sends: str, tmp_path: Path) -> None:
+    """Regular callers, the link to the kernel, calls and reports still get descriptors; the node list is
+    down."""
     with process(tmp_path, limits={"sockets": 96}) as p:
-        usual = p.caller()
+        regular = p.connect()
 
         def served(caller: CallerEnd) -> None:
-            ref, done = caller.ask("book", k=f"key {caller.next_id}"), False
+            ref, done = caller.send_request("book", k=f"key {caller.next_id}"), False
 
             def answered() -> bool:
                 nonlocal done
                 if not done and ref in [c["handle"] for c in p.kernel.commands("SCHED")]:
                     done = True
-                    p.kernel.note(event="IOREQ", handle=ref, arg="Y2FsbA==")
-                    call = Far(p.ledgers.accept()[0])
-                    p.until("the call", lambda: call.pump().data.endswith(b"call"))
+                    p.kernel.send_notice(event="IOREQ", handle=ref, arg="Y2FsbA==")
+                    call = RemoteEnd(p.ledger_listener.accept()[0])
+                    p.wait_until("the call", lambda: call.read_available().data.endswith(b"call"))
                     call.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nreply")
-                    p.until("the reply", lambda: ref in [c["handle"] for c in p.kernel.commands("IODONE")])
-                    p.kernel.done(ref)
-                return caller.next_id in caller.by_id()
+                    p.wait_until(
+                        "the reply", lambda: ref in [c["handle"] for c in p.kernel.commands("IODONE")]
+                    )
+                    p.kernel.finish_run(ref)
+                return caller.next_id in caller.answers_by_id()
 
-            p.until("an answer", answered)
-            assert "result" in caller.by_id()[caller.next_id]
+            p.wait_until("an answer", answered)
+            assert "result" in caller.answers_by_id()[caller.next_id]
 
-        served(usual)
+        served(regular)
         before = descriptors(p)
         idle = []
         for number in range(250):
             with suppress(OSError):
-                client = p.caller()
+                client = p.connect()
                 idle.append(client)
-                with suppress(OSError):  # it was turned away
-                    if says == "checks":
-                        client.check()
-                    elif says == "half a message":
+                with suppress(OSError):  # the connection was rejected
+                    if sends == "checks":
+                        client.send_heartbeat()
+                    elif sends == "half a message":
                         client.write(b"Content-Le")
             if number % 25 == 0:
                 assert descriptors(p) <= 96
-        if not usual.pump().end and not usual.said_farewell():
-            served(usual)
-        served(newcomer(p))
+        if not regular.read_available().end and not regular.received_farewell():
+            served(regular)
+        served(connect_regular(p))
         p.kernel.reset()  # the link breaks while the table is full
         cursor = p.kernel.cursor
         p.boot()
         p.kernel.cursor = cursor
-        served(newcomer(p))
-        p.roster.settimeout(MOST)
+        served(connect_regular(p))
+        p.node_list_socket.settimeout(MOST)
         begun = processor_seconds(p)
-        for _ in range(5):  # a report each 0.3 s, also with nobody there to list it
-            assert p.roster.recv(100).split() == [b"HERE", b"n1", b"on"]
+        for _ in range(5):  # a report every 0.3 s, although the node list does not answer
+            assert p.node_list_socket.recv(100).split() == [b"HERE", b"n1", b"on"]
         assert processor_seconds(p) - begun < 1.0, "it spins"
-        assert p.told().count(b"\n") < 400, "a flood of lines"
+        assert p.log_bytes().count(b"\n") < 400, "a flood of lines"
         for client in idle:
             client.close()
-        p.until("the idle to be forgotten", lambda: descriptors(p) <= before + 8)
-        served(p.caller())
+        p.wait_until("the idle to be forgotten", lambda: descriptors(p) <= before + 8)
+        served(p.connect())
 
 
-def test_what_the_machine_grants_is_shared_out_and_not_what_the_file_says(tmp_path: Path) -> None:
+def test_descriptor_limit_of_the_system_caps_the_configured_one(tmp_path: Path) -> None:
     (tmp_path / "config.json").write_bytes(orjson.dumps(SAMPLE | {"listen": free_address()}))
     with (tmp_path / "log").open("wb") as log:
         child = subprocess.Popen(
@@ -779,7 +801,7 @@
         child.wait()
 
 
-def test_results_kept_for_repeats_take_no_more_than_their_part_of_a_small_memory() -> None:
+def test_stored_results_are_bounded_by_memory() -> None:
     net = Net(limits={"memory_mb": 16})
     net.boot()
     caller, doc = net.caller(), "A" * 14_000
@@ -794,25 +816,25 @@
 # ---- repeats
 
 
-def test_a_repeat_read_in_the_turn_in_which_the_run_ends_shares_its_result() -> None:
+def test_repeat_read_as_the_run_ends_shares_its_result() -> None:
     with stepped() as s:
-        caller, _ = s.standing()
-        again, _ = s.standing()
-        ref = caller.ask("book", k="acct")
-        s.runs(ref)
-        s.kernel.done(ref, "b25l")
-        again.ask("book", k="acct", r=1)  # both lie unread
-        s.until("both answers", lambda: caller.by_id().get(1) and again.by_id().get(1))
-        assert {caller.by_id()[1]["result"]["doc"], again.by_id()[1]["result"]["doc"]} == {"b25l"}
+        caller, _ = s.connect_accepted()
+        again, _ = s.connect_accepted()
+        ref = caller.send_request("book", k="acct")
+        s.wait_for_run(ref)
+        s.kernel.finish_run(ref, "b25l")
+        again.send_request("book", k="acct", r=1)  # end of the run and repeat are both unread
+        s.wait_until("both answers", lambda: caller.answers_by_id().get(1) and again.answers_by_id().get(1))
+        assert {caller.answers_by_id()[1]["result"]["doc"], again.answers_by_id()[1]["result"]["doc"]} == {
+            "b25l"
+        }
         assert len(s.kernel.commands("SCHED")) == 1
 
 
 @pytest.mark.parametrize("open_still", [True, False])
 @pytest.mark.parametrize("other", [{"doc": "b3RoZXI="}, {"t": "acme east"}])
-def test_a_key_that_comes_with_another_body_or_tenant_gets_neither_a_result_nor_a_run(
-    other: dict[str, Any], open_still: bool
-) -> None:
-    """As bad clients send it: what is served to them is lost to whoever owns it."""
+def test_key_reused_with_another_body_or_tenant_is_rejected(other: dict[str, Any], open_still: bool) -> None:
+    """A result served to a misbehaving client would be lost to the owner of the key."""
     accounts = [*SAMPLE["settings"]["accounts"], {"name": "acme east"}]
     net = Net(settings=SAMPLE["settings"] | {"accounts": accounts})
     net.boot()
@@ -831,7 +853,7 @@
     assert [a["result"]["doc"] for a in net.answers(caller)] == ["b25l"] * 2, "its own repeats are as before"
 
 
-def test_a_key_first_used_by_one_that_the_kernel_does_not_know_is_free_for_its_owner() -> None:
+def test_key_of_a_txn_unknown_to_the_kernel_stays_free() -> None:
     net = Net()
     net.boot()
     bad, caller = net.caller(), net.caller()
@@ -845,18 +867,18 @@
     assert net.answers(caller)[0]["result"]["doc"] == "b25l"
 
 
-def test_a_repeat_after_its_first_try_was_taken_back_joins_the_run_that_goes_on() -> None:
+def test_repeat_after_a_revoke_joins_the_run_in_progress() -> None:
     with stepped() as s:
-        caller, ours = s.standing()
-        ref = caller.ask("book", k="acct")
-        s.runs(ref)
+        caller, connection = s.connect_accepted()
+        ref = caller.send_request("book", k="acct")
+        s.wait_for_run(ref)
         caller.write(caller_revokes(1))
-        s.until("the revoke", lambda: not ours.open)
-        caller.ask("book", k="acct", r=1)
-        s.until("the repeat", lambda: len(s.instance.jobs) == 2)
-        s.kernel.done(ref, "b25l")
-        s.until("its answer", lambda: caller.by_id().get(2))
-        assert caller.by_id()[2]["result"]["doc"] == "b25l" and len(s.kernel.commands("SCHED")) == 1
+        s.wait_until("the revoke", lambda: not connection.open_txns)
+        caller.send_request("book", k="acct", r=1)
+        s.wait_until("the repeat", lambda: len(s.instance.jobs) == 2)
+        s.kernel.finish_run(ref, "b25l")
+        s.wait_until("its answer", lambda: caller.answers_by_id().get(2))
+        assert caller.answers_by_id()[2]["result"]["doc"] == "b25l" and len(s.kernel.commands("SCHED")) == 1
 
 
 def caller_revokes(number: int) -> bytes:
@@ -865,8 +887,8 @@
 
 
 @pytest.mark.parametrize(("landed", "runs"), [(-0.02, 1), (0.02, 2)])
-def test_a_repeat_at_the_end_of_a_short_window_goes_by_when_it_landed(landed: float, runs: int) -> None:
-    """Read at the same time: what landed within the window never runs again, what landed after it may."""
+def test_repeat_at_the_end_of_the_window_counts_by_its_send_time(landed: float, runs: int) -> None:
+    """Both are read at the same time: a repeat sent within the window never runs again, a later one may."""
     classes = [SAMPLE["settings"]["classes"][0], SAMPLE["settings"]["classes"][1] | {"keyTtl": 500_000}]
     net = Net(settings=SAMPLE["settings"] | {"classes": classes, "round": 0})
     net.boot()
@@ -881,17 +903,17 @@
     assert len(net.answers(caller)) == 3 - runs
 
 
-def test_an_id_that_is_open_on_another_connection_runs_once_and_costs_the_first_nothing() -> None:
+def test_ref_open_on_another_connection_runs_once() -> None:
     with stepped() as s:
-        caller, _ = s.standing()
-        other, _ = s.standing()
-        ref = caller.ask()
-        s.runs(ref)
-        other.ask(i=ref, doc="b3RoZXI=")
-        s.until("the error", lambda: other.by_id().get(1))
-        s.kernel.done(ref)
-        s.until("the answer", lambda: caller.by_id().get(1))
-        assert other.by_id()[1]["error"]["code"] == -32000 and "result" in caller.by_id()[1]
+        caller, _ = s.connect_accepted()
+        other, _ = s.connect_accepted()
+        ref = caller.send_request()
+        s.wait_for_run(ref)
+        other.send_request(i=ref, doc="b3RoZXI=")
+        s.wait_until("the error", lambda: other.answers_by_id().get(1))
+        s.kernel.finish_run(ref)
+        s.wait_until("the answer", lambda: caller.answers_by_id().get(1))
+        assert other.answers_by_id()[1]["error"]["code"] == -32000 and "result" in caller.answers_by_id()[1]
         assert len(s.kernel.commands("SCHED")) == 1
 
 
@@ -902,96 +924,97 @@
     "piece", [b"", b"HTTP/1.1 200 OK\r\nConte", b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nre"]
 )
 @pytest.mark.parametrize("how", ["end", "reset"])
-def test_a_reply_cut_anywhere_proves_nothing(piece: bytes, how: str) -> None:
+def test_truncated_reply_counts_as_broken(piece: bytes, how: str) -> None:
     with stepped() as s:
-        told: list[End] = []
+        outcomes: list[End] = []
         call = s.instance.ledger.call("0" * 16, 5_000_000, b"body")
-        call.done.addCallback(lambda called: told.append(called.end))
-        line = s.accepted(s.ledgers, Far)
-        s.until("the call", lambda: line.pump().data.endswith(b"body"))
-        line.write(piece)
-        line.close() if how == "end" else line.reset()
-        s.until("its end", lambda: told)
-        assert told == [End.BROKEN] and s.instance.ledger.connections == 0
+        call.done.addCallback(lambda called: outcomes.append(called.end))
+        call_connection = s.accept(s.ledger_listener, RemoteEnd)
+        s.wait_until("the call", lambda: call_connection.read_available().data.endswith(b"body"))
+        call_connection.write(piece)
+        call_connection.close() if how == "end" else call_connection.reset()
+        s.wait_until("its end", lambda: outcomes)
+        assert outcomes == [End.BROKEN] and s.instance.ledger.connections == 0
 
 
-def test_a_reply_in_the_turn_of_its_time_out_is_told_once() -> None:
+def test_reply_that_coincides_with_its_timeout_is_reported_once() -> None:
     with stepped() as s:
-        told: list[End] = []
+        outcomes: list[End] = []
         call = s.instance.ledger.call("0" * 16, 50_000, b"body")
-        call.done.addCallback(lambda called: told.append(called.end))
-        line = s.accepted(s.ledgers, Far)
-        s.until("the call", lambda: line.pump().data.endswith(b"body"))
-        line.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nreply")
+        call.done.addCallback(lambda called: outcomes.append(called.end))
+        call_connection = s.accept(s.ledger_listener, RemoteEnd)
+        s.wait_until("the call", lambda: call_connection.read_available().data.endswith(b"body"))
+        call_connection.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nreply")
         end = s.reactor.seconds() + 0.06
-        while s.reactor.seconds() < end:  # no turn of the loop: reply and time-out are both due then
+        while s.reactor.seconds() < end:  # no iteration of the loop, so that reply and timeout are both due
             pass
-        s.until("its end", lambda: told)
-        s.turn(5)
-        assert told in ([End.TIMED_OUT], [End.OK]) and s.instance.ledger.connections == 0
+        s.wait_until("its end", lambda: outcomes)
+        s.iterate(5)
+        assert outcomes in ([End.TIMED_OUT], [End.OK]) and s.instance.ledger.connections == 0
 
 
-# ---- floods and late ones
+# ---- floods
 
 
-def test_more_messages_than_a_turn_takes_with_the_end_behind_them_are_all_taken() -> None:
+def test_messages_beyond_one_iteration_are_handled_despite_end_of_stream() -> None:
     with stepped() as s:
-        caller, ours = s.standing()
+        caller, connection = s.connect_accepted()
         for _ in range(100):
-            caller.check()
-        s.until("all answers", lambda: len(caller.by_id()) == 100)
-        refs = [caller.ask() for _ in range(20)]  # over a turn's share; the end comes with them
+            caller.send_heartbeat()
+        s.wait_until("all answers", lambda: len(caller.answers_by_id()) == 100)
+        # More than one iteration handles, followed by the end of the stream.
+        refs = [caller.send_request() for _ in range(20)]
         caller.socket.shutdown(socket.SHUT_WR)
-        s.until("its end", lambda: ours not in s.instance.callers.connections)
-        s.until("the runs to be known as nobody's", lambda: not s.instance.facade.owed())
-        assert len(refs) == 20 and not ours.open
+        s.wait_until("its end", lambda: connection not in s.instance.callers.connections)
+        s.wait_until("the runs to be known as nobody's", lambda: not s.instance.facade.owed())
+        assert len(refs) == 20 and not connection.open_txns
 
 
 # ---- the last moments before the kill
 
 
-def test_the_process_ends_its_last_call_before_the_kill_and_no_look_later() -> None:
-    """What happens: SIGKILL at `stop_ms` after the notice finds a process that has drained still there, in 3
-    lives of 4 on a loaded machine. Why: it ended with the next of the looks at the drain, 0.05 s apart, so
-    that of the 0.08 s before the kill 0.03 s were left; with nobody connected any more it waited 0.15 s for
-    newcomers that could not come. What showed it: the log's `drain` `time-up` with `connections` 0, 0.017 to
-    0.039 s before the kill."""
+def test_process_exits_at_its_deadline_before_the_kill() -> None:
+    """Failure: at SIGKILL, `stop_ms` after the signal, a drained process was still running, in 3 runs of 4 on
+    a loaded machine. Cause: it exited only at the next check of the drain, which ran every 0.05 s, so that
+    0.03 s of the 0.08 s before the kill were left; and with no connection left it waited 0.15 s for new ones
+    that could not come. Evidence: `drain` `time-up` with `connections` 0 in the log, 0.017 to 0.039 s before
+    the kill."""
     for offset in (0.0, 0.013, 0.031, 0.049):
         net = Net()
         net.boot()
-        net.caller()  # never ends its own end
+        net.caller()  # never closes its end
         ended: list[float] = []
         net.reactor.stop = lambda: ended.append(net.reactor.seconds())  # type: ignore[method-assign] # noqa: B023
         net.pass_time(offset, 0.001)
-        net.instance.leave()
+        net.instance.start_drain()
         kill_at = net.instance.kill_at
         net.pass_time(kill_at - net.reactor.seconds(), 0.001)
-        assert ended and LAST_CALL - 0.002 <= kill_at - ended[0] <= LAST_CALL + 0.002
+        assert ended and EXIT_BEFORE_KILL_S - 0.002 <= kill_at - ended[0] <= EXIT_BEFORE_KILL_S + 0.002
 
 
-def test_the_process_ends_as_soon_as_all_streams_have_ended() -> None:
+def test_process_exits_once_all_streams_have_ended() -> None:
     with stepped(stop_ms=1_000) as s:
-        caller, _ = s.standing()
-        s.served(caller)
-        s.instance.leave()
-        s.until("the end of the stream", lambda: caller.pump().end)
+        caller, _ = s.connect_accepted()
+        s.serve_request(caller)
+        s.instance.start_drain()
+        s.wait_until("the end of the stream", lambda: caller.read_available().end)
         caller.close()
-        s.until("the process's own end", lambda: s.ended)
-        assert s.reactor.seconds() < s.instance.kill_at - LAST_CALL
+        s.wait_until("the process's own end", lambda: s.stopped)
+        assert s.reactor.seconds() < s.instance.kill_at - EXIT_BEFORE_KILL_S
         assert s.log.codes("drain")[-1] == "done"
 
 
-def test_the_kill_follows_the_signal_and_not_the_turn_in_which_it_is_taken() -> None:
-    """The signal's handler runs within a turn of the loop, and what it asks for in the next one."""
+def test_kill_time_counts_from_the_signal() -> None:
+    """The signal handler runs within an iteration of the event loop, the drain starts in the next one."""
     net = Net()
     net.boot()
     instance = net.instance
-    instance.noticed(signal.SIGHUP)
+    instance.record_signal(signal.SIGHUP)
     signalled = net.reactor.seconds()
-    instance.noticed(signal.SIGTERM)
-    net.reactor.rightNow += 0.4  # the turn goes on
-    instance.noticed(signal.SIGINT)
-    instance.leave()
+    instance.record_signal(signal.SIGTERM)
+    net.reactor.rightNow += 0.4  # the iteration continues
+    instance.record_signal(signal.SIGINT)
+    instance.start_drain()
     stop = SAMPLE["stop_ms"] / 1_000
     assert instance.kill_at == pytest.approx(signalled + stop)
     brain = instance.facade.brain
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -22,7 +22,7 @@
 from helpers import MOST, PLAIN, SAMPLE, until
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
-from loopback import CallerEnd, Far, KernelEnd, address, bound, free_address
+from loopback import CallerEnd, KernelEnd, RemoteEnd, address, bound_socket, free_address
 
 from limeridge.brain import DEFAULT_HEED_TIME_US, Brain
 from limeridge.interface import Decision, Outcome, Stage, Txn, Verb
@@ -284,7 +284,7 @@
 
     def __init__(self, folder: Path, number: int, share: float, count: int, ledger: str, roster: str) -> None:
         self.number, self.folder = number, folder
-        self.kernel_listener = bound()
+        self.kernel_listener = bound_socket()
         self.kernel_listener.listen(4)
         self.kernel_listener.settimeout(MOST)
         info = SAMPLE["settings"]["familyInfo"] | {
@@ -363,8 +363,8 @@
                 return False
             self.opened = False
         if not self.opened and self.kernel.commands("OPEN"):
-            self.kernel.tell(event="BOOTED", fate="cold", lasted=0)
-            self.kernel.tell(event="INFO", ticket="fence", figures=[0, 0, 0, 0])
+            self.kernel.send_event(event="BOOTED", fate="cold", lasted=0)
+            self.kernel.send_event(event="INFO", ticket="fence", figures=[0, 0, 0, 0])
             self.opened = True
         if self.caller is None:
             host, _, port = str(self.config["listen"]).rpartition(":")
@@ -372,36 +372,36 @@
                 self.caller = CallerEnd(socket.create_connection((host, int(port)), timeout=MOST))
             except OSError:
                 return False
-            self.caller.check()
-        answers = self.caller.by_id()
+            self.caller.send_heartbeat()
+        answers = self.caller.answers_by_id()
         if self.caller.next_id in answers:
             if answers[self.caller.next_id]["result"]["ready"]:
                 self.ready_at = time.monotonic()
                 return True
-            self.caller.check()
+            self.caller.send_heartbeat()
         return False
 
     def work(self) -> None:
         """Keeps six requests open; each run waits for a call and ends when it may continue."""
         kernel, caller = self.kernel, self.caller
-        caller.answers()
-        answered = sum(1 for each in caller.heard if each.get("id", 0) > 0)
+        caller.messages()
+        answered = sum(1 for each in caller.received if each.get("id", 0) > 0)
         while caller.next_id - answered < 6:
-            caller.ask(d=1_500)
-        kernel.pump()
+            caller.send_request(d=1_500)
+        kernel.read_available()
         complete, _, kernel.data = kernel.data.rpartition(b"\n")
         for command in map(orjson.loads, complete.splitlines()):
             if command["event"] == "SCHED":
-                kernel.note(event="IOREQ", handle=command["handle"], arg="Y2FsbA==")
+                kernel.send_notice(event="IOREQ", handle=command["handle"], arg="Y2FsbA==")
             elif command["event"] in ("IODONE", "NOIO"):
-                kernel.done(command["handle"])
+                kernel.finish_run(command["handle"])
 
 
 class CountingLedger:
     """Serves calls in its own thread, each for about `work` seconds, and records when each of them ran."""
 
     def __init__(self, work: float) -> None:
-        self.listener, self.work = bound(), work
+        self.listener, self.work = bound_socket(), work
         self.listener.listen(512)
         self.listener.setblocking(False)
         self.spans: list[tuple[float, float]] = []
@@ -415,12 +415,12 @@
             now = time.monotonic()
             while True:
                 try:
-                    far = Far(self.listener.accept()[0])
+                    far = RemoteEnd(self.listener.accept()[0])
                 except BlockingIOError:
                     break
                 calls[far] = [0.0, 0.0]  # begin and end
             for far, call in list(calls.items()):
-                far.pump()
+                far.read_available()
                 if not call[0] and b"\r\n\r\ncall" in far.data:
                     call[0], call[1] = now, now + self.work * (0.5 + rng.random())
                 done = call[0] and now >= call[1]
@@ -445,7 +445,7 @@
     the start of a process, or from when its address becomes free, to its first good health check."""
     share, work = 0.9, 0.06
     budget = share * count
-    ledger, unused_socket = CountingLedger(work), bound(socket.SOCK_DGRAM)
+    ledger, unused_socket = CountingLedger(work), bound_socket(socket.SOCK_DGRAM)
     roster = address(unused_socket)
     unused_socket.close()
     machines = [Machine(tmp_path, n, share, count, address(ledger.listener), roster) for n in range(count)]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -174,7 +174,7 @@
         draw, rng, net = self.rng.random(), self.rng, self.net
         runs = [handle for handle, state in self.kernel.state.items() if state == "runs"]
         if not self.callers or draw < 0.04:
-            if len(self.callers) < 6 and not net.instance.leaving:
+            if len(self.callers) < 6 and not net.instance.draining:
                 self.callers.append(net.caller())
         elif draw < 0.4:
             self.send_request()
@@ -244,7 +244,7 @@
     net, rng = fleet.net, fleet.rng
     for number in range(250):
         if number == 200:
-            net.instance.leave()
+            net.instance.start_drain()
         fleet.step()
         fleet.settle()
         net.pass_time(rng.choice([0.002, 0.02, 0.06]), 0.002)
@@ -256,7 +256,7 @@
             fleet.kernel.end(handle, "ok")
         net.pass_time(0.02)
         fleet.settle()
-    assert not net.instance.jobs and not net.instance.facade.open and net.instance.callers.held == 0
+    assert not net.instance.jobs and not net.instance.facade.open and net.instance.callers.held_bytes == 0
     assert not fleet.unanswered and len(fleet.kernel.started) == len(set(fleet.kernel.started))
 
 
