--- a/limeridge/config.py
+++ b/limeridge/config.py
@@ -26,7 +26,7 @@
     run_through,
 )
 from limeridge.configuration.tenants import (
-    RETENTION,
+    RETENTION_US,
     DuplicateTenant,
     TenantFault,
     TenantTable,
@@ -233,7 +233,7 @@
     def __init__(self, before: Setup | None, now: int) -> None:
         self._before = None if before is None else before.tenants
         self._now = now
-        self._kept_for = RETENTION
+        self._kept_for = RETENTION_US
         if before is not None:
             self.keep_for(longest_memory(before.plain, len(before.products)))
         self._builder: TenantTableBuilder
--- a/limeridge/configuration/chain.py
+++ b/limeridge/configuration/chain.py
@@ -25,7 +25,7 @@
     text_bytes,
 )
 from limeridge.configuration.checks import Fault, Refused, check_fit, check_form
-from limeridge.configuration.tables import DIGEST_BYTES, CantApply, Tables, TablesEditor
+from limeridge.configuration.tables import DIGEST_BYTES, InapplicableChange, Tables, TablesEditor
 
 HASH_BYTES = 16
 NO_HASH = bytes(HASH_BYTES)
@@ -260,7 +260,7 @@
                 raise BrokenLink(f"revision {number} is under an older token than the one before it")
             try:
                 tables = replayed(self.tables, [entry.revision])
-            except CantApply as fault:
+            except InapplicableChange as fault:
                 raise BrokenLink(f"revision {number} does not fit: {fault}") from None
             if tables.digest != entry.digest:
                 raise BrokenLink(f"revision {number} gives other tables here")
@@ -339,7 +339,7 @@
 
 
 def replayed(tables: Tables, revisions: Iterable[Revision]) -> Tables:
-    """The tables after all revisions, built once. Raises CantApply."""
+    """The tables after all revisions, built once. Raises InapplicableChange."""
     editor = TablesEditor(tables, now=PUBLISHER_NOW, retired_until=PUBLISHER_RETIRED_UNTIL)
     for revision in revisions:
         editor.apply(revision.changes)
--- a/limeridge/configuration/checks.py
+++ b/limeridge/configuration/checks.py
@@ -29,7 +29,7 @@
 )
 from limeridge.configuration.routes import prefix_fault
 from limeridge.configuration.tables import ClassLimits, Tables
-from limeridge.configuration.tenants import NAME_MOST, QUOTA_MOST
+from limeridge.configuration.tenants import MAX_NAME_CHARACTERS, MAX_QUOTA
 
 TENANTS_MOST = 500_000  # half of an instance's numbers: the rest is for tenants that went a short while ago
 ROUTES_MOST = 500_000
@@ -151,17 +151,17 @@
     """Types and bounds of one change."""
     match change:
         case PutTenant(name, quota):
-            yield from _text_fault(f"{place}.name", name, NAME_MOST)
-            yield from _number_fault(f"{place}.quota", quota, QUOTA_MOST)
+            yield from _text_fault(f"{place}.name", name, MAX_NAME_CHARACTERS)
+            yield from _number_fault(f"{place}.quota", quota, MAX_QUOTA)
         case RemoveTenant(name):
-            yield from _text_fault(f"{place}.name", name, NAME_MOST)
+            yield from _text_fault(f"{place}.name", name, MAX_NAME_CHARACTERS)
         case PutRoute(prefix, class_name):
             yield from _prefix_fault(prefix, place)
-            yield from _text_fault(f"{place}.class_name", class_name, NAME_MOST)
+            yield from _text_fault(f"{place}.class_name", class_name, MAX_NAME_CHARACTERS)
         case RemoveRoute(prefix):
             yield from _prefix_fault(prefix, place)
         case SetClassLimit(class_name, share):
-            yield from _text_fault(f"{place}.class_name", class_name, NAME_MOST)
+            yield from _text_fault(f"{place}.class_name", class_name, MAX_NAME_CHARACTERS)
             yield from _number_fault(f"{place}.share", share, SHARES_MOST)
 
 
--- a/limeridge/configuration/columns.py
+++ b/limeridge/configuration/columns.py
@@ -19,10 +19,10 @@
 class ColumnEditor(Generic[Value]):
     """The next state of a column: `pages` of the earlier one, and a page that stands for no values yet."""
 
-    def __init__(self, pages: tuple[array[Value], ...], fill: array[Value]) -> None:
+    def __init__(self, pages: tuple[array[Value], ...], empty_page: array[Value]) -> None:
         self._pages: list[array[Value]] = list(pages)
-        self._fill: array[Value] = fill
-        self._own: set[int] = set()  # pages that are not shared with an earlier column
+        self._empty_page: array[Value] = empty_page
+        self._copied_pages: set[int] = set()  # pages that are not shared with an earlier column
 
     def get(self, number: int) -> Value:
         """Raises IndexError beyond the last page."""
@@ -31,9 +31,9 @@
     def set(self, number: int, value: Value) -> None:
         page = number >> PAGE_BITS
         while page >= len(self._pages):
-            self._pages.append(self._fill)
-        if page not in self._own:
-            self._own.add(page)
+            self._pages.append(self._empty_page)
+        if page not in self._copied_pages:
+            self._copied_pages.add(page)
             self._pages[page] = self._pages[page][:]
         self._pages[page][number & PAGE_MASK] = value
 
--- a/limeridge/configuration/encoding.py
+++ b/limeridge/configuration/encoding.py
@@ -35,7 +35,7 @@
 from limeridge.configuration.snapshot import PART_ENTRIES, SnapshotHeader, SnapshotPart
 from limeridge.configuration.subscriber import AskDeltas, AskSnapshot, Deltas, Why, deltas_of
 from limeridge.configuration.tables import DIGEST_BYTES, ClassLimits
-from limeridge.configuration.tenants import NAME_MOST, QUOTA_MOST
+from limeridge.configuration.tenants import MAX_NAME_CHARACTERS, MAX_QUOTA
 
 MAGIC = b"LRC"
 VERSION = 1
@@ -48,9 +48,9 @@
 Time = Annotated[int, Meta(ge=-(2**63), le=2**63 - 1)]
 Hash = Annotated[bytes, Meta(min_length=HASH_BYTES, max_length=HASH_BYTES)]
 Digest = Annotated[bytes, Meta(min_length=DIGEST_BYTES, max_length=DIGEST_BYTES)]
-Name = Annotated[str, Meta(min_length=1, max_length=NAME_MOST)]
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_CHARACTERS)]
 Prefix = Annotated[str, Meta(min_length=1, max_length=PREFIX_MOST)]
-Quota = Annotated[float, Meta(ge=0, le=QUOTA_MOST)]
+Quota = Annotated[float, Meta(ge=0, le=MAX_QUOTA)]
 Share = Annotated[float, Meta(ge=0, le=1)]
 
 
@@ -90,7 +90,7 @@
 
 class WireToken(_Wire, frozen=True):
     number: Natural
-    holder: Annotated[str, Meta(max_length=NAME_MOST)]
+    holder: Annotated[str, Meta(max_length=MAX_NAME_CHARACTERS)]
     nonce: Natural
 
 
--- a/limeridge/configuration/names.py
+++ b/limeridge/configuration/names.py
@@ -15,15 +15,15 @@
 from limeridge.configuration.columns import PAGE_BITS, PAGE_MASK, PAGE_SIZE
 
 SHARD_BITS = 10
-SHARDS = 1 << SHARD_BITS
-SHARD_MASK = SHARDS - 1
-SHARD_LEAST = 4  # slots of a shard that holds anything
+SHARD_COUNT = 1 << SHARD_BITS
+SHARD_MASK = SHARD_COUNT - 1
+MIN_SHARD_SLOTS = 4  # slots of a shard that holds anything
 TAG_BITS = 12
 TAG_MASK = (1 << TAG_BITS) - 1
-SHARD_MOST = 1 << TAG_BITS  # slots; the tag alone leads to a slot
+MAX_SHARD_SLOTS = 1 << TAG_BITS  # the tag alone leads to a slot
 NUMBER_BITS = 20
 NUMBER_MASK = (1 << NUMBER_BITS) - 1
-NUMBERS_MOST = NUMBER_MASK  # a slot holds the number and one
+MAX_NUMBERS = NUMBER_MASK  # a slot holds the number and one
 
 
 class IndexFull(Exception):
@@ -37,10 +37,10 @@
     blob: bytes
     ends: array[int]
 
-    def get(self, place: int) -> bytes:
-        return self.blob[self.ends[place - 1] if place else 0 : self.ends[place]]
+    def get(self, offset: int) -> bytes:
+        return self.blob[self.ends[offset - 1] if offset else 0 : self.ends[offset]]
 
-    def all(self) -> list[bytes]:
+    def names(self) -> list[bytes]:
         names, begin = [], 0
         for end in self.ends:
             names.append(self.blob[begin:end])
@@ -48,16 +48,16 @@
         return names
 
 
-def name_page(names: list[bytes]) -> NamePage:
+def build_name_page(names: list[bytes]) -> NamePage:
     """The page of PAGE_SIZE names, empty where a number has none."""
     return NamePage(b"".join(names), array("I", accumulate(map(len, names))))
 
 
-def encoded_name(name: str) -> bytes:
+def encode_name(name: str) -> bytes:
     return name.encode("utf-8", "surrogatepass")
 
 
-def decoded_name(name: bytes) -> str:
+def decode_name(name: bytes) -> str:
     return name.decode("utf-8", "surrogatepass")
 
 
@@ -81,28 +81,28 @@
 
     @staticmethod
     def empty() -> NameTable:
-        return NameTable((), (array("I"),) * SHARDS, 0, array("I"))
+        return NameTable((), (array("I"),) * SHARD_COUNT, 0, array("I"))
 
     def __len__(self) -> int:
         return self.used - len(self.free)
 
     def find(self, name: str) -> int | None:
         """The name's number, None where it is not there."""
-        hashed = hash(name)
-        shard = self.shards[hashed & SHARD_MASK]
+        name_hash = hash(name)
+        shard = self.shards[name_hash & SHARD_MASK]
         if not shard:
             return None
         mask = len(shard) - 1
-        tag = (hashed >> SHARD_BITS) & TAG_MASK
+        tag = (name_hash >> SHARD_BITS) & TAG_MASK
         slot = tag & mask
         while entry := shard[slot]:
             if entry >> NUMBER_BITS == tag:
                 number = (entry & NUMBER_MASK) - 1
-                page, place = self.pages[number >> PAGE_BITS], number & PAGE_MASK
+                page, offset = self.pages[number >> PAGE_BITS], number & PAGE_MASK
                 ends = page.ends
                 # NamePage.get in place: this is on the path of every request
-                held = page.blob[ends[place - 1] if place else 0 : ends[place]]
-                if held == name.encode("utf-8", "surrogatepass"):
+                stored_name = page.blob[ends[offset - 1] if offset else 0 : ends[offset]]
+                if stored_name == name.encode("utf-8", "surrogatepass"):
                     return number
             slot = (slot + 1) & mask
         return None
@@ -111,14 +111,14 @@
         """Empty where the number has no name."""
         if not 0 <= number < self.used:
             return ""
-        return decoded_name(self.pages[number >> PAGE_BITS].get(number & PAGE_MASK))
+        return decode_name(self.pages[number >> PAGE_BITS].get(number & PAGE_MASK))
 
     def items(self) -> Iterator[tuple[int, str]]:
         """Numbers with their names, ascending."""
-        for page, names in enumerate(self.pages):
-            for place, name in enumerate(names.all()):
+        for page_index, page in enumerate(self.pages):
+            for offset, name in enumerate(page.names()):
                 if name:
-                    yield (page << PAGE_BITS) + place, decoded_name(name)
+                    yield (page_index << PAGE_BITS) + offset, decode_name(name)
 
 
 class NameTableEditor:
@@ -129,7 +129,8 @@
         self._pages = list(table.pages)
         self._shards = list(table.shards)
         self._free = table.free[:]
-        self._own_shards: dict[int, int] = {}  # those not shared with the earlier table: entries in each
+        # Shards that were copied and are no longer shared with the earlier table: index to entry count.
+        self._copied_shard_sizes: dict[int, int] = {}
         self._open_page: int | None = None  # the one page whose names stand in a list
         self._open_names: list[bytes] = []
 
@@ -138,37 +139,37 @@
 
     def find(self, name: str) -> int | None:
         """As in the table, in what is edited."""
-        hashed = hash(name)
-        shard = self._shards[hashed & SHARD_MASK]
+        name_hash = hash(name)
+        shard = self._shards[name_hash & SHARD_MASK]
         if not shard:
             return None
         mask = len(shard) - 1
-        tag = (hashed >> SHARD_BITS) & TAG_MASK
+        tag = (name_hash >> SHARD_BITS) & TAG_MASK
         slot = tag & mask
         while entry := shard[slot]:
             if entry >> NUMBER_BITS == tag:
                 number = (entry & NUMBER_MASK) - 1
-                if self._name(number) == encoded_name(name):
+                if self._name(number) == encode_name(name):
                     return number
             slot = (slot + 1) & mask
         return None
 
     def add(self, name: str) -> int:
         """A number for a name that is not there yet. Raises IndexFull."""
-        number = self._new_number()
-        self._set_name(number, encoded_name(name))
-        self._index(hash(name), number)
+        number = self._allocate_number()
+        self._set_name(number, encode_name(name))
+        self._add_to_index(hash(name), number)
         return number
 
     def drop(self, number: int) -> None:
         """Forget the name; the number is free for another."""
-        self._unindex(number)
+        self._remove_from_index(number)
         self._set_name(number, b"")
         self._free.append(number)
 
     def build(self) -> NameTable:
         """The table; the editor is of no use after it."""
-        self._close_page()
+        self._flush_open_page()
         return NameTable(tuple(self._pages), tuple(self._shards), self.used, self._free)
 
     def _name(self, number: int) -> bytes:
@@ -180,56 +181,56 @@
     def _set_name(self, number: int, name: bytes) -> None:
         page = number >> PAGE_BITS
         if page != self._open_page:
-            self._close_page()
+            self._flush_open_page()
             self._open_page = page
-            self._open_names = self._pages[page].all()
+            self._open_names = self._pages[page].names()
         self._open_names[number & PAGE_MASK] = name
 
-    def _close_page(self) -> None:
+    def _flush_open_page(self) -> None:
         if self._open_page is not None:
-            self._pages[self._open_page] = name_page(self._open_names)
+            self._pages[self._open_page] = build_name_page(self._open_names)
             self._open_page = None
 
-    def _new_number(self) -> int:
+    def _allocate_number(self) -> int:
         if self._free:
             return self._free.pop()
-        if self.used == NUMBERS_MOST:
-            raise IndexFull(f"expected at most {NUMBERS_MOST}")
+        if self.used == MAX_NUMBERS:
+            raise IndexFull(f"expected at most {MAX_NUMBERS}")
         if self.used & PAGE_MASK == 0:
-            self._pages.append(name_page([b""] * PAGE_SIZE))
+            self._pages.append(build_name_page([b""] * PAGE_SIZE))
         self.used += 1
         return self.used - 1
 
-    def _own_shard(self, which: int) -> array[int]:
-        if which not in self._own_shards:
-            shard = self._shards[which][:]
-            self._shards[which] = shard
-            self._own_shards[which] = len(shard) - shard.count(0)
-        return self._shards[which]
-
-    def _index(self, hashed: int, number: int) -> None:
-        which = hashed & SHARD_MASK
-        shard = self._own_shard(which)
-        if 3 * (self._own_shards[which] + 1) > 2 * len(shard):
-            shard = self._shards[which] = _grown(shard)
-        _insert(shard, ((hashed >> SHARD_BITS) & TAG_MASK) << NUMBER_BITS | (number + 1))
-        self._own_shards[which] += 1
-
-    def _unindex(self, number: int) -> None:
+    def _writable_shard(self, shard_index: int) -> array[int]:
+        if shard_index not in self._copied_shard_sizes:
+            shard = self._shards[shard_index][:]
+            self._shards[shard_index] = shard
+            self._copied_shard_sizes[shard_index] = len(shard) - shard.count(0)
+        return self._shards[shard_index]
+
+    def _add_to_index(self, name_hash: int, number: int) -> None:
+        shard_index = name_hash & SHARD_MASK
+        shard = self._writable_shard(shard_index)
+        if 3 * (self._copied_shard_sizes[shard_index] + 1) > 2 * len(shard):
+            shard = self._shards[shard_index] = _grow_shard(shard)
+        _insert_entry(shard, ((name_hash >> SHARD_BITS) & TAG_MASK) << NUMBER_BITS | (number + 1))
+        self._copied_shard_sizes[shard_index] += 1
+
+    def _remove_from_index(self, number: int) -> None:
         """Remove one entry; those behind it move up, so that no probe ends too early."""
-        hashed = hash(decoded_name(self._name(number)))
-        which = hashed & SHARD_MASK
-        shard = self._own_shard(which)
+        name_hash = hash(decode_name(self._name(number)))
+        shard_index = name_hash & SHARD_MASK
+        shard = self._writable_shard(shard_index)
         mask = len(shard) - 1
-        slot = (hashed >> SHARD_BITS) & mask
+        slot = (name_hash >> SHARD_BITS) & mask
         while shard[slot] & NUMBER_MASK != number + 1:
             slot = (slot + 1) & mask
         shard[slot] = 0
-        self._own_shards[which] -= 1
+        self._copied_shard_sizes[shard_index] -= 1
         slot = (slot + 1) & mask
         while entry := shard[slot]:
             shard[slot] = 0
-            _insert(shard, entry)
+            _insert_entry(shard, entry)
             slot = (slot + 1) & mask
 
 
@@ -237,21 +238,21 @@
     """Numbers from 0 on, a byte each."""
 
     def __init__(self) -> None:
-        self._marks = bytearray()
+        self._present = bytearray()
 
     def __contains__(self, number: int) -> bool:
-        return number < len(self._marks) and self._marks[number] == 1
+        return number < len(self._present) and self._present[number] == 1
 
     def add(self, number: int) -> bool:
         """False where it is there already."""
-        if number >= len(self._marks):
-            self._marks.extend(bytes(number + 1 - len(self._marks)))
-        was_there = self._marks[number] == 1
-        self._marks[number] = 1
-        return not was_there
+        if number >= len(self._present):
+            self._present.extend(bytes(number + 1 - len(self._present)))
+        already_present = self._present[number] == 1
+        self._present[number] = 1
+        return not already_present
 
 
-def _insert(shard: array[int], entry: int) -> None:
+def _insert_entry(shard: array[int], entry: int) -> None:
     mask = len(shard) - 1
     slot = (entry >> NUMBER_BITS) & mask
     while shard[slot]:
@@ -259,12 +260,12 @@
     shard[slot] = entry
 
 
-def _grown(shard: array[int]) -> array[int]:
-    slots = max(SHARD_LEAST, 2 * len(shard))
-    if slots > SHARD_MOST:
+def _grow_shard(shard: array[int]) -> array[int]:
+    slots = max(MIN_SHARD_SLOTS, 2 * len(shard))
+    if slots > MAX_SHARD_SLOTS:
         raise IndexFull("the hashes of the names are too uneven")
     larger = array("I", bytes(4 * slots))
     for entry in shard:
         if entry:
-            _insert(larger, entry)
+            _insert_entry(larger, entry)
     return larger
--- a/limeridge/configuration/subscriber.py
+++ b/limeridge/configuration/subscriber.py
@@ -16,7 +16,7 @@
 
 from limeridge.configuration.chain import Entry, Head, Revision, hash_of
 from limeridge.configuration.snapshot import SnapshotFault, SnapshotHeader, SnapshotLoader
-from limeridge.configuration.tables import CantApply, Tables, TablesEditor
+from limeridge.configuration.tables import InapplicableChange, Tables, TablesEditor
 
 CHANGES_PER_STEP = 20  # under two milliseconds
 
@@ -232,7 +232,7 @@
             for first in range(0, len(revision.changes), CHANGES_PER_STEP):
                 try:
                     editor.apply(revision.changes[first : first + CHANGES_PER_STEP])
-                except CantApply:
+                except InapplicableChange:
                     return None
                 yield
             chain_hash = hash_of(chain_hash, revision, editor.digest)
--- a/limeridge/configuration/tables.py
+++ b/limeridge/configuration/tables.py
@@ -29,7 +29,7 @@
 DIGEST_MASK = (1 << (8 * DIGEST_BYTES)) - 1
 
 
-class CantApply(Exception):
+class InapplicableChange(Exception):
     """A change does not fit the tables that it is to be made to."""
 
 
@@ -67,7 +67,7 @@
 
 
 class TablesEditor:
-    """The tables after `tables`, a change at a time. After CantApply the editor is of no use.
+    """The tables after `tables`, a change at a time. After InapplicableChange the editor is of no use.
 
     `now` and `retired_until` are microseconds of the process' own clock, see TenantTableEditor.
     """
@@ -79,12 +79,12 @@
         self.digest = tables.digest
 
     def apply(self, changes: Iterable[Change]) -> None:
-        """Raises CantApply."""
+        """Raises InapplicableChange."""
         try:
             for change in changes:
                 self._apply(change)
         except (TenantFault, RouteFault) as fault:
-            raise CantApply(fault.fault) from None
+            raise InapplicableChange(fault.fault) from None
 
     def build(self) -> Tables:
         return Tables(self._tenants.build(), self._routes.build(), self._limits, self.digest)
@@ -103,61 +103,61 @@
                 self._set_class_limit(class_name, share)
 
     def _put_tenant(self, name: str, quota: float) -> None:
-        before = self._tenants.get(name)
+        previous = self._tenants.get(name)
         self._tenants.put(name, quota)
-        self._replace(
-            None if before is None else tenant_digest(name, before),
+        self._update_digest(
+            None if previous is None else tenant_digest(name, previous),
             tenant_digest(name, quota),
         )
 
     def _remove_tenant(self, name: str) -> None:
-        before = self._tenants.get(name)
-        if before is None:
-            raise CantApply(f"there is no tenant {name!r}")
+        previous = self._tenants.get(name)
+        if previous is None:
+            raise InapplicableChange(f"there is no tenant {name!r}")
         self._tenants.remove(name)
-        self._replace(tenant_digest(name, before), None)
+        self._update_digest(tenant_digest(name, previous), None)
 
     def _put_route(self, prefix: str, class_name: str) -> None:
         number = self._limits.find(class_name)
         if number is None:
-            raise CantApply(f"there is no class {class_name!r}")
-        before = self._routes.get(prefix)
+            raise InapplicableChange(f"there is no class {class_name!r}")
+        previous = self._routes.get(prefix)
         self._routes.put(prefix, number)
-        self._replace(
-            None if before is None else route_digest(prefix, self._limits.names[before]),
+        self._update_digest(
+            None if previous is None else route_digest(prefix, self._limits.names[previous]),
             route_digest(prefix, class_name),
         )
 
     def _remove_route(self, prefix: str) -> None:
-        before = self._routes.get(prefix)
-        if before is None:
-            raise CantApply(f"there is no route {prefix!r}")
+        previous = self._routes.get(prefix)
+        if previous is None:
+            raise InapplicableChange(f"there is no route {prefix!r}")
         self._routes.remove(prefix)
-        self._replace(route_digest(prefix, self._limits.names[before]), None)
+        self._update_digest(route_digest(prefix, self._limits.names[previous]), None)
 
     def _set_class_limit(self, class_name: str, share: float) -> None:
         number = self._limits.find(class_name)
         if number is None:
-            raise CantApply(f"there is no class {class_name!r}")
-        before = limits_digest(self._limits)
+            raise InapplicableChange(f"there is no class {class_name!r}")
+        previous = limits_digest(self._limits)
         self._limits = self._limits.with_share(number, float(share))
-        self._replace(before, limits_digest(self._limits))
+        self._update_digest(previous, limits_digest(self._limits))
 
-    def _replace(self, before: int | None, after: int | None) -> None:
-        self.digest = (self.digest - (before or 0) + (after or 0)) & DIGEST_MASK
+    def _update_digest(self, previous: int | None, updated: int | None) -> None:
+        self.digest = (self.digest - (previous or 0) + (updated or 0)) & DIGEST_MASK
 
 
 def tenant_digest(name: str, quota: float) -> int:
-    return _hashed(packed(b"tenant", text_bytes(name), number_bytes(quota)))
+    return _hash_as_int(packed(b"tenant", text_bytes(name), number_bytes(quota)))
 
 
 def route_digest(prefix: str, class_name: str) -> int:
-    return _hashed(packed(b"route", text_bytes(prefix), text_bytes(class_name)))
+    return _hash_as_int(packed(b"route", text_bytes(prefix), text_bytes(class_name)))
 
 
 def limits_digest(limits: ClassLimits) -> int:
     """Of all classes as one, for their order counts."""
-    return _hashed(
+    return _hash_as_int(
         packed(b"classes", *map(text_bytes, limits.names), *map(number_bytes, limits.shares)),
     )
 
@@ -182,5 +182,5 @@
         yield packed(text_bytes(prefix), text_bytes(class_name))
 
 
-def _hashed(data: bytes) -> int:
+def _hash_as_int(data: bytes) -> int:
     return int.from_bytes(blake2b(data, digest_size=DIGEST_BYTES).digest(), "big")
--- a/limeridge/configuration/tenants.py
+++ b/limeridge/configuration/tenants.py
@@ -15,14 +15,12 @@
 from limeridge.configuration.columns import PAGE_BITS, PAGE_MASK, PAGE_SIZE, ColumnEditor
 from limeridge.configuration.names import IndexFull, NameTable, NameTableEditor, NumberSet
 
-NAME_MOST = 256  # characters
-QUOTA_MOST = 1e12  # requests a second
-RETENTION = (
-    3_600_000_000  # microseconds that a tenant which went keeps its number, where nothing else is told
-)
+MAX_NAME_CHARACTERS = 256
+MAX_QUOTA = 1e12  # requests a second
+RETENTION_US = 3_600_000_000  # default time that a removed tenant keeps its number
 DROPS_PER_EDIT = 256  # retired tenants whose time has come that one edit drops; a build drops all
 ENTRIES_PER_STEP = 500
-DROP_COST = 5  # a drop takes as long as looking at so many entries
+DROP_COST_ENTRIES = 5  # a drop takes as long as looking at so many entries
 
 # A quota cell below zero is not a quota: UNUSED, or minus the time until which the tenant stays retired.
 UNUSED = -math.inf
@@ -104,11 +102,11 @@
     def numbers(self) -> Iterator[int]:
         """The numbers of the tenants that are present, ascending."""
         for page, quotas in enumerate(self._quotas):
-            for place, quota in enumerate(quotas):
+            for offset, quota in enumerate(quotas):
                 if quota >= 0:
-                    yield (page << PAGE_BITS) + place
+                    yield (page << PAGE_BITS) + offset
 
-    def retired(self) -> int:
+    def retired_count(self) -> int:
         """Tenants that went and keep their number still."""
         return len(self._names) - self._count
 
@@ -116,7 +114,7 @@
 class TenantTableEditor:
     """The next table after `previous`, by single changes; all that is not named stays.
 
-    A tenant that is removed keeps its number until `retired_until`, which is `now` and RETENTION where it is
+    A tenant that is removed keeps its number until `retired_until`, which is `now` + RETENTION_US where it is
     not told. Later editors of the same chain of tables may not be handed an earlier `now`. After a fault the
     editor is of no use.
     """
@@ -126,7 +124,7 @@
     ) -> None:
         table = previous if previous is not None else TenantTable.empty()
         self.now = now
-        self.retired_until = max(1, now + RETENTION if retired_until is None else retired_until)
+        self.retired_until = max(1, now + RETENTION_US if retired_until is None else retired_until)
         self._names = NameTableEditor(table._names)
         self._quotas = ColumnEditor(table._quotas, UNUSED_PAGE)
         self._count = table._count
@@ -163,35 +161,35 @@
 
     def build(self) -> TenantTable:
         """The table; the editor is of no use after it."""
-        self._drop_due(DROPS_PER_EDIT)
-        return self._finished()
+        self._drop_expired(DROPS_PER_EDIT)
+        return self._build_table()
 
     def _new_number(self, name: str, entry: int) -> int:
         try:
             return self._names.add(name)
-        except IndexFull as full:
-            gone = len(self._names) - self._count
-            raise TooManyTenants(entry, f"{full} tenants, {gone} that went among them") from None
+        except IndexFull as error:
+            retired_count = len(self._names) - self._count
+            raise TooManyTenants(entry, f"{error} tenants, {retired_count} that went among them") from None
 
     def _retire(self, number: int) -> None:
         self._quotas.set(number, -float(self.retired_until))
         self._removed.append(number)
         self._count -= 1
 
-    def _drop_due(self, most: int) -> int:
+    def _drop_expired(self, limit: int) -> int:
         """Forget retired tenants whose time has come, oldest first; gives how many were looked at."""
         if not self._retirements or self._retirements[0].until > self.now:
             return 0
         oldest = self._retirements[0]
-        for number in oldest.numbers[-most:]:
+        for number in oldest.numbers[-limit:]:
             if self._quotas.get(number) == -float(oldest.until):  # else it came back, or went again later
                 self._names.drop(number)
                 self._quotas.set(number, UNUSED)
-        left = oldest.numbers[:-most]
-        self._retirements[:1] = [Retirement(oldest.until, left)] if left else []
-        return min(most, len(oldest.numbers))
+        remaining = oldest.numbers[:-limit]
+        self._retirements[:1] = [Retirement(oldest.until, remaining)] if remaining else []
+        return min(limit, len(oldest.numbers))
 
-    def _finished(self) -> TenantTable:
+    def _build_table(self) -> TenantTable:
         if self._removed:
             self._retirements.append(Retirement(self.retired_until, self._removed))
         return TenantTable(self._names.build(), self._quotas.build(), self._count, tuple(self._retirements))
@@ -208,9 +206,9 @@
         self, previous: TenantTable | None = None, *, now: int = 0, retired_until: int | None = None
     ) -> None:
         super().__init__(previous, now=now, retired_until=retired_until)
-        self._before = self._names.used
+        self._previous_used = self._names.used
         self._added = NumberSet()
-        self._adds = 0
+        self._added_count = 0
         self._table: TenantTable | None = None
 
     @property
@@ -222,10 +220,10 @@
 
     def add(self, name: str, quota: float = 0.0) -> int:
         """One entry; gives its number. Raises TenantFault, which names the entry."""
-        number = self.put(name, quota, self._adds)
+        number = self.put(name, quota, self._added_count)
         if not self._added.add(number):
-            raise DuplicateTenant(self._adds, f"the name {name!r} stands twice")
-        self._adds += 1
+            raise DuplicateTenant(self._added_count, f"the name {name!r} stands twice")
+        self._added_count += 1
         return number
 
     def build(self) -> TenantTable:
@@ -236,19 +234,19 @@
 
     def build_steps(self, entries_per_step: int = ENTRIES_PER_STEP) -> Iterator[None]:
         """Retire who is not there any more, and drop those whose time has come, a step at a time."""
-        for first in range(0, self._before, entries_per_step):
-            for number in range(first, min(self._before, first + entries_per_step)):
+        for first in range(0, self._previous_used, entries_per_step):
+            for number in range(first, min(self._previous_used, first + entries_per_step)):
                 if number not in self._added and self._quotas.get(number) >= 0:
                     self._retire(number)
             yield
-        while self._drop_due(max(1, entries_per_step // DROP_COST)):
+        while self._drop_expired(max(1, entries_per_step // DROP_COST_ENTRIES)):
             yield
-        self._table = self._finished()
+        self._table = self._build_table()
 
 
 def check_tenant(name: str, quota: float, entry: int) -> None:
     """Raises TenantFault where name or quota is out of bounds."""
-    if not isinstance(name, str) or not 1 <= len(name) <= NAME_MOST:
-        raise TenantFault(entry, f"name: expected a text of 1 to {NAME_MOST} characters")
-    if isinstance(quota, bool) or not isinstance(quota, int | float) or not 0 <= quota <= QUOTA_MOST:
-        raise TenantFault(entry, f"quota: expected a number from 0 to {QUOTA_MOST:g}")
+    if not isinstance(name, str) or not 1 <= len(name) <= MAX_NAME_CHARACTERS:
+        raise TenantFault(entry, f"name: expected a text of 1 to {MAX_NAME_CHARACTERS} characters")
+    if isinstance(quota, bool) or not isinstance(quota, int | float) or not 0 <= quota <= MAX_QUOTA:
+        raise TenantFault(entry, f"quota: expected a number from 0 to {MAX_QUOTA:g}")
--- a/tests/test_configuration_live.py
+++ b/tests/test_configuration_live.py
@@ -24,7 +24,7 @@
     run_through,
     run_turn,
 )
-from limeridge.configuration.tenants import RETENTION, TenantTableBuilder
+from limeridge.configuration.tenants import RETENTION_US, TenantTableBuilder
 from limeridge.histogram import Histogram
 from limeridge.interface import Outcome, Stage, Verb
 
@@ -192,9 +192,9 @@
     )
     none, turns = counting.turns(steps_of(orjson.dumps(many(0)), again, 2))
     assert len(none.tenants) == 0 and sum(turns) == 240_000 and max(turns) <= RETIRED_MOST
-    far = RETENTION + 10_000_000_000
+    far = RETENTION_US + 10_000_000_000
     empty, turns = counting.turns(steps_of(orjson.dumps(many(1)), none, far))
-    assert empty.tenants.retired() == 0 and sum(turns) == 240_000 and max(turns) <= TURN_WORK
+    assert empty.tenants.retired_count() == 0 and sum(turns) == 240_000 and max(turns) <= TURN_WORK
 
 
 def test_no_more_of_the_file_is_held_than_a_few_pieces() -> None:
--- a/tests/test_configuration_revisions.py
+++ b/tests/test_configuration_revisions.py
@@ -642,7 +642,7 @@
         "            number = self._new_number(name, entry)\n",
     ),
     "the digest forgets what a route led to": Defect(
-        "tables", "None if before is None else route_digest(prefix, self._limits.names[before]),", "None,"
+        "tables", "None if previous is None else route_digest(prefix, self._limits.names[previous]),", "None,"
     ),
     "a removed route is counted out twice": Defect(
         "routes", "self._depths[depth_of(prefix)] -= 1", "self._depths[depth_of(prefix)] -= 2"
--- a/tests/test_configuration_tables.py
+++ b/tests/test_configuration_tables.py
@@ -6,7 +6,7 @@
 import pytest
 
 from limeridge.configuration.columns import PAGE_SIZE
-from limeridge.configuration.names import NUMBERS_MOST
+from limeridge.configuration.names import MAX_NUMBERS
 from limeridge.configuration.routes import (
     Route,
     RouteFault,
@@ -58,11 +58,17 @@
 def test_a_removed_tenant_with_requests_open_has_quota_0_and_its_name_until_dropped() -> None:
     first = built({"a": 5, "b": 7})
     gone = built({"b": 7}, first, now=10)
-    assert (gone.find("a"), gone.quota(0), gone.name(0), len(gone), gone.retired()) == (None, 0.0, "a", 1, 1)
+    assert (gone.find("a"), gone.quota(0), gone.name(0), len(gone), gone.retired_count()) == (
+        None,
+        0.0,
+        "a",
+        1,
+        1,
+    )
     just_before = built({"b": 7, "c": 1}, gone, now=SECOND + 9)
     assert (just_before.find("c"), just_before.name(0)) == (2, "a")  # its number is not given to another
     dropped = built({"b": 7, "c": 1}, just_before, now=SECOND + 10)
-    assert (dropped.name(0), dropped.quota(0), dropped.retired()) == ("", 0.0, 0)
+    assert (dropped.name(0), dropped.quota(0), dropped.retired_count()) == ("", 0.0, 0)
     assert built({"b": 7, "c": 1, "d": 2}, dropped, now=SECOND + 11).find("d") == 0
 
 
@@ -101,8 +107,8 @@
 
 
 def test_numbers_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert NUMBERS_MOST >= 1_000_000
-    monkeypatch.setattr("limeridge.configuration.names.NUMBERS_MOST", 3)
+    assert MAX_NUMBERS >= 1_000_000
+    monkeypatch.setattr("limeridge.configuration.names.MAX_NUMBERS", 3)
     table = built({"a": 1}, built({"a": 1, "b": 1, "c": 1}), now=10)
     with pytest.raises(
         TooManyTenants, match=r"tenants.1: expected at most 3 tenants, 2 that went among them"
@@ -184,7 +190,7 @@
     for _ in rebuilt.build_steps(500):
         steps.append(time.thread_time_ns() - began)
         began = time.thread_time_ns()
-    assert (len(rebuilt.table), rebuilt.table.retired()) == (TENANTS // 2, TENANTS // 2)
+    assert (len(rebuilt.table), rebuilt.table.retired_count()) == (TENANTS // 2, TENANTS // 2)
     assert sorted(steps)[len(steps) * 9 // 10] < 2_000_000
 
 
