--- a/limeridge/configuration/columns.py
+++ b/limeridge/configuration/columns.py
@@ -1,7 +1,7 @@
-"""Columns of numbers in pages: one value for each number of a table of names.
+"""Copy-on-write columns of numeric values, one value for each number of a name table.
 
-It owns how values lie in memory. Two revisions share all pages that did not change between them. It must
-never change a page that an earlier revision holds.
+Values are stored in pages. Two revisions share all pages that did not change between them; a page of an
+earlier revision is never modified.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class ColumnEditor(Generic[Value]):
-    """The next state of a column: `pages` of the earlier one, and a page that stands for no values yet."""
+    """Builds a modified copy of a column from its `pages`; new pages start as a copy of `empty_page`."""
 
     def __init__(self, pages: tuple[array[Value], ...], empty_page: array[Value]) -> None:
         self._pages: list[array[Value]] = list(pages)
@@ -25,7 +25,7 @@
         self._copied_pages: set[int] = set()  # pages that are not shared with an earlier column
 
     def get(self, number: int) -> Value:
-        """Raises IndexError beyond the last page."""
+        """Returns the value of a number. Raises IndexError beyond the last page."""
         return self._pages[number >> PAGE_BITS][number & PAGE_MASK]
 
     def set(self, number: int, value: Value) -> None:
@@ -38,5 +38,5 @@
         self._pages[page][number & PAGE_MASK] = value
 
     def build(self) -> tuple[array[Value], ...]:
-        """The pages; the editor is of no use after it."""
+        """Returns the new pages; the editor must not be used afterwards."""
         return tuple(self._pages)
--- a/limeridge/configuration/names.py
+++ b/limeridge/configuration/names.py
@@ -1,8 +1,8 @@
-"""Names with numbers: an immutable table of texts, each with a number, found by either.
+"""An immutable bidirectional mapping between names and small integer numbers.
 
-It owns how names lie in memory and how they are found. Two tables share all pages and index shards that did
-not change between them, so that a change costs a few pages and not a copy. It must never change a table once
-it is built. It knows nothing of what the names stand for, nor when a number may be given again.
+This module defines the memory layout of the names and their hash index. Two tables share all pages and index
+shards that did not change between them, so a change copies a few pages instead of the whole table. A table is
+never modified after it is built. What the names denote, and when a number may be reused, is up to the caller.
 """
 
 from __future__ import annotations
@@ -17,22 +17,22 @@
 SHARD_BITS = 10
 SHARD_COUNT = 1 << SHARD_BITS
 SHARD_MASK = SHARD_COUNT - 1
-MIN_SHARD_SLOTS = 4  # slots of a shard that holds anything
+MIN_SHARD_SLOTS = 4  # of a shard that is not empty
 TAG_BITS = 12
 TAG_MASK = (1 << TAG_BITS) - 1
-MAX_SHARD_SLOTS = 1 << TAG_BITS  # the tag alone leads to a slot
+MAX_SHARD_SLOTS = 1 << TAG_BITS  # the first slot to probe is taken from the tag alone
 NUMBER_BITS = 20
 NUMBER_MASK = (1 << NUMBER_BITS) - 1
-MAX_NUMBERS = NUMBER_MASK  # a slot holds the number and one
+MAX_NUMBERS = NUMBER_MASK  # a slot stores number + 1, as 0 marks a free slot
 
 
 class IndexFull(Exception):
-    """No number is left, or the names' hashes are too uneven for the index."""
+    """All numbers are in use, or the names' hashes are too unevenly distributed for the index."""
 
 
 @dataclass(slots=True, frozen=True)
 class NamePage:
-    """The names of PAGE_SIZE numbers in one blob; each name ends where the next one begins."""
+    """The names of PAGE_SIZE consecutive numbers, concatenated; `ends` holds the end offset of each."""
 
     blob: bytes
     ends: array[int]
@@ -49,7 +49,7 @@
 
 
 def build_name_page(names: list[bytes]) -> NamePage:
-    """The page of PAGE_SIZE names, empty where a number has none."""
+    """Builds a page from PAGE_SIZE names; an empty name marks a number that is not in use."""
     return NamePage(b"".join(names), array("I", accumulate(map(len, names))))
 
 
@@ -64,9 +64,10 @@
 class NameTable:
     """The names of one revision.
 
-    A number leads to a page, a name by its hash to a shard of the index, which is open addressing with linear
-    probing. A slot is 0 where free, else number + 1 below a tag: TAG_BITS more of the hash, which give the
-    slot to begin at and spare most comparisons of names.
+    A number selects a page and an offset in it. A name is looked up by its hash in a sharded index that uses
+    open addressing with linear probing. A slot is 0 if free; otherwise it holds number + 1 in the low bits
+    and a tag above them. The tag is TAG_BITS further bits of the hash: it selects the first slot to probe
+    and avoids most comparisons of names.
     """
 
     __slots__ = ("free", "pages", "shards", "used")
@@ -76,8 +77,8 @@
     ) -> None:
         self.pages = pages
         self.shards = shards
-        self.used = used  # numbers below it have been given out at some time
-        self.free = free  # those of them that have no name now
+        self.used = used  # all numbers below this have been allocated at some time
+        self.free = free  # allocated numbers that have no name at present
 
     @staticmethod
     def empty() -> NameTable:
@@ -87,7 +88,7 @@
         return self.used - len(self.free)
 
     def find(self, name: str) -> int | None:
-        """The name's number, None where it is not there."""
+        """Returns the number of a name, or None if the name is not in the table."""
         name_hash = hash(name)
         shard = self.shards[name_hash & SHARD_MASK]
         if not shard:
@@ -100,7 +101,7 @@
                 number = (entry & NUMBER_MASK) - 1
                 page, offset = self.pages[number >> PAGE_BITS], number & PAGE_MASK
                 ends = page.ends
-                # NamePage.get in place: this is on the path of every request
+                # NamePage.get inlined, because every request runs this
                 stored_name = page.blob[ends[offset - 1] if offset else 0 : ends[offset]]
                 if stored_name == name.encode("utf-8", "surrogatepass"):
                     return number
@@ -108,13 +109,13 @@
         return None
 
     def name(self, number: int) -> str:
-        """Empty where the number has no name."""
+        """Returns the name of a number, or an empty string if the number has none."""
         if not 0 <= number < self.used:
             return ""
         return decode_name(self.pages[number >> PAGE_BITS].get(number & PAGE_MASK))
 
     def items(self) -> Iterator[tuple[int, str]]:
-        """Numbers with their names, ascending."""
+        """Yields (number, name) pairs in ascending order of numbers."""
         for page_index, page in enumerate(self.pages):
             for offset, name in enumerate(page.names()):
                 if name:
@@ -122,7 +123,7 @@
 
 
 class NameTableEditor:
-    """The next table after `table`. Names may not be empty."""
+    """Builds a modified copy of `table`. Names must not be empty."""
 
     def __init__(self, table: NameTable) -> None:
         self.used = table.used
@@ -131,14 +132,14 @@
         self._free = table.free[:]
         # Shards that were copied and are no longer shared with the earlier table: index to entry count.
         self._copied_shard_sizes: dict[int, int] = {}
-        self._open_page: int | None = None  # the one page whose names stand in a list
+        self._open_page: int | None = None  # the one page whose names are unpacked into `_open_names`
         self._open_names: list[bytes] = []
 
     def __len__(self) -> int:
         return self.used - len(self._free)
 
     def find(self, name: str) -> int | None:
-        """As in the table, in what is edited."""
+        """Like `NameTable.find`, on the edited state."""
         name_hash = hash(name)
         shard = self._shards[name_hash & SHARD_MASK]
         if not shard:
@@ -155,20 +156,20 @@
         return None
 
     def add(self, name: str) -> int:
-        """A number for a name that is not there yet. Raises IndexFull."""
+        """Adds a name that is not in the table yet and returns its number. Raises IndexFull."""
         number = self._allocate_number()
         self._set_name(number, encode_name(name))
         self._add_to_index(hash(name), number)
         return number
 
     def drop(self, number: int) -> None:
-        """Forget the name; the number is free for another."""
+        """Removes the name of this number, which may then be allocated to another name."""
         self._remove_from_index(number)
         self._set_name(number, b"")
         self._free.append(number)
 
     def build(self) -> NameTable:
-        """The table; the editor is of no use after it."""
+        """Returns the new table; the editor must not be used afterwards."""
         self._flush_open_page()
         return NameTable(tuple(self._pages), tuple(self._shards), self.used, self._free)
 
@@ -217,7 +218,7 @@
         self._copied_shard_sizes[shard_index] += 1
 
     def _remove_from_index(self, number: int) -> None:
-        """Remove one entry; those behind it move up, so that no probe ends too early."""
+        """Removes one entry and reinserts those after it, so that no probe sequence ends too early."""
         name_hash = hash(decode_name(self._name(number)))
         shard_index = name_hash & SHARD_MASK
         shard = self._writable_shard(shard_index)
@@ -235,7 +236,7 @@
 
 
 class NumberSet:
-    """Numbers from 0 on, a byte each."""
+    """A set of small non-negative integers, stored as one byte each."""
 
     def __init__(self) -> None:
         self._present = bytearray()
@@ -244,7 +245,7 @@
         return number < len(self._present) and self._present[number] == 1
 
     def add(self, number: int) -> bool:
-        """False where it is there already."""
+        """Returns False if the number was already in the set."""
         if number >= len(self._present):
             self._present.extend(bytes(number + 1 - len(self._present)))
         already_present = self._present[number] == 1
@@ -263,7 +264,7 @@
 def _grow_shard(shard: array[int]) -> array[int]:
     slots = max(MIN_SHARD_SLOTS, 2 * len(shard))
     if slots > MAX_SHARD_SLOTS:
-        raise IndexFull("the hashes of the names are too uneven")
+        raise IndexFull("hashes of the names are too unevenly distributed")
     larger = array("I", bytes(4 * slots))
     for entry in shard:
         if entry:
--- a/limeridge/configuration/tables.py
+++ b/limeridge/configuration/tables.py
@@ -1,8 +1,8 @@
-"""All tables of one revision, their digest, and the editor that makes the next one's.
+"""All tables of one revision, their digest, and the editor that builds the next revision.
 
-It owns how a change acts on the tables, and the digest of what they hold: the sum of the hashes of all
-entries, so that a change costs one or two of them and the order in which entries came does not matter. It
-must never change tables that are built, nor leave them half changed.
+This module defines how a change is applied to the tables, and the digest of their content. The digest is the
+sum of the hashes of all entries, so a change costs one or two hashes and the order in which entries were
+added does not matter. Tables are immutable once built and never left partly changed.
 """
 
 from __future__ import annotations
@@ -30,12 +30,12 @@
 
 
 class InapplicableChange(Exception):
-    """A change does not fit the tables that it is to be made to."""
+    """A change refers to an entry or class that the tables do not have, or exceeds a bound."""
 
 
 @dataclass(slots=True, frozen=True)
 class ClassLimits:
-    """The classes by number, and the share of an instance's capacity that is kept for each."""
+    """The classes by number, and the share of an instance's capacity that is reserved for each."""
 
     names: tuple[str, ...] = ()
     shares: tuple[float, ...] = ()
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tables:
-    """What is in force by one revision. `digest` covers tenants, routes and class limits."""
+    """The content of one revision. `digest` covers tenants, routes and class limits."""
 
     tenants: TenantTable
     routes: RouteTable
@@ -61,15 +61,16 @@
         return Tables(TenantTable.empty(), RouteTable.empty(), limits, limits_digest(limits))
 
     def class_of(self, path: str) -> str | None:
-        """The name of the class that a path leads to."""
+        """Returns the name of the class that a path is routed to, or None if no route matches."""
         number = self.routes.find(path)
         return None if number is None else self.limits.names[number]
 
 
 class TablesEditor:
-    """The tables after `tables`, a change at a time. After InapplicableChange the editor is of no use.
+    """Builds modified tables from `tables`, one change at a time.
 
-    `now` and `retired_until` are microseconds of the process' own clock, see TenantTableEditor.
+    The editor must not be used after InapplicableChange. `now` and `retired_until` are microseconds of the
+    process' own clock, see TenantTableEditor.
     """
 
     def __init__(self, tables: Tables, *, now: int, retired_until: int | None = None) -> None:
@@ -79,7 +80,7 @@
         self.digest = tables.digest
 
     def apply(self, changes: Iterable[Change]) -> None:
-        """Raises InapplicableChange."""
+        """Applies the changes in order. Raises InapplicableChange."""
         try:
             for change in changes:
                 self._apply(change)
@@ -156,25 +157,26 @@
 
 
 def limits_digest(limits: ClassLimits) -> int:
-    """Of all classes as one, for their order counts."""
+    """Hashes all classes as one entry, because their order is significant."""
     return _hash_as_int(
         packed(b"classes", *map(text_bytes, limits.names), *map(number_bytes, limits.shares)),
     )
 
 
 def sorted_tenants(tables: Tables) -> list[tuple[str, float]]:
-    """The order in which tenants are told to others; the same whatever the tables went through."""
+    """Returns tenants with quotas, sorted by name: independent of the history of the tables."""
     tenants = tables.tenants
     return sorted((tenants.name(number), tenants.quota(number)) for number in tenants.numbers())
 
 
 def sorted_routes(tables: Tables) -> list[tuple[str, str]]:
+    """Returns prefixes with class names, sorted by prefix: independent of the history of the tables."""
     names = tables.limits.names
     return sorted((route.prefix, names[route.class_number]) for route in tables.routes.routes())
 
 
 def canonical_bytes(tables: Tables) -> Iterator[bytes]:
-    """What the tables hold, entry by entry, as bytes to be compared: equal where the tables are."""
+    """Yields the content entry by entry, as bytes that are equal if and only if the tables are."""
     yield packed(*map(text_bytes, tables.limits.names), *map(number_bytes, tables.limits.shares))
     for name, quota in sorted_tenants(tables):
         yield packed(text_bytes(name), number_bytes(quota))
--- a/limeridge/configuration/tenants.py
+++ b/limeridge/configuration/tenants.py
@@ -1,8 +1,8 @@
-"""The table of tenants: names, quotas and stable numbers, in one immutable object a revision.
+"""The table of tenants: names, quotas and stable numbers, as one immutable object per revision.
 
-It owns which number a tenant has, over all revisions of a process. It must never give a number to another
-tenant while requests or quota state of the earlier one may still be there, and never change a table once it
-is built. Times are whole microseconds of one clock that does not go back, handed in.
+This module assigns numbers to tenants; a number stays the same over all revisions of a process. A number is
+never reassigned while requests or quota state of its earlier tenant may still exist, and a table is never
+modified once it is built. Times are whole microseconds of a monotonic clock and are passed in.
 """
 
 from __future__ import annotations
@@ -16,19 +16,20 @@
 from limeridge.configuration.names import IndexFull, NameTable, NameTableEditor, NumberSet
 
 MAX_NAME_CHARACTERS = 256
-MAX_QUOTA = 1e12  # requests a second
+MAX_QUOTA = 1e12  # requests per second
 RETENTION_US = 3_600_000_000  # default time that a removed tenant keeps its number
-DROPS_PER_EDIT = 256  # retired tenants whose time has come that one edit drops; a build drops all
+DROPS_PER_EDIT = 256  # expired tenants that an edit drops at most; a full build drops all of them
 ENTRIES_PER_STEP = 500
-DROP_COST_ENTRIES = 5  # a drop takes as long as looking at so many entries
+DROP_COST_ENTRIES = 5  # dropping a tenant takes as long as examining this many entries
 
-# A quota cell below zero is not a quota: UNUSED, or minus the time until which the tenant stays retired.
+# A negative value in the quota column is not a quota: it is UNUSED, or the negated time at which the
+# retirement of the tenant expires.
 UNUSED = -math.inf
 UNUSED_PAGE = array("d", [UNUSED]) * PAGE_SIZE
 
 
 class TenantFault(Exception):
-    """One entry that can't be taken: `entry` counts from 0 in the order of adding."""
+    """An invalid entry; `entry` is its index from 0 in the order of adding."""
 
     def __init__(self, entry: int, fault: str) -> None:
         super().__init__(f"tenants.{entry}: {fault}")
@@ -37,23 +38,23 @@
 
 
 class DuplicateTenant(TenantFault):
-    """The entry's name stands in an earlier entry too."""
+    """The entry has the same name as an earlier one."""
 
 
 class TooManyTenants(TenantFault):
-    """All numbers are taken, by tenants that are present or not long enough gone."""
+    """All numbers are in use by present tenants or by removed ones that are still retained."""
 
 
 @dataclass(slots=True, frozen=True)
 class Retirement:
-    """The tenants that one revision removed; each keeps its number until the time is there."""
+    """The tenants that one revision removed; they keep their numbers until the time `until`."""
 
     until: int
     numbers: array[int]
 
 
 class TenantTable:
-    """The tenants of one revision. Retired ones stay in it until dropped."""
+    """The tenants of one revision. Removed tenants stay in it as retired ones until they are dropped."""
 
     __slots__ = ("_count", "_names", "_quotas", "_retirements")
 
@@ -74,49 +75,49 @@
         return TenantTable(NameTable.empty(), (), 0, ())
 
     def __len__(self) -> int:
-        """Tenants that are present."""
+        """Returns the number of present tenants."""
         return self._count
 
     def find(self, name: str) -> int | None:
-        """The tenant's number, None where it is not present."""
+        """Returns the number of a tenant, or None if it is not present."""
         number = self._names.find(name)
         if number is None or self._quotas[number >> PAGE_BITS][number & PAGE_MASK] < 0:
             return None
         return number
 
     def quota(self, number: int) -> float:
-        """Requests a second of the whole fleet; 0.0 where none is set, and for a tenant that is gone."""
+        """Requests per second of the whole fleet; 0.0 if none is set or the tenant was removed."""
         if not 0 <= number < self._names.used:
             return 0.0
         return max(0.0, self._quotas[number >> PAGE_BITS][number & PAGE_MASK])
 
     def name(self, number: int) -> str:
-        """The name of a tenant that is present or retired; empty where the number has none."""
+        """The name of a present or retired tenant; empty if the number has none."""
         return self._names.name(number)
 
     def names(self) -> Iterator[str]:
-        """The names of the tenants that are present, by number."""
+        """The names of the present tenants, in ascending order of their numbers."""
         for number in self.numbers():
             yield self.name(number)
 
     def numbers(self) -> Iterator[int]:
-        """The numbers of the tenants that are present, ascending."""
-        for page, quotas in enumerate(self._quotas):
+        """The numbers of the present tenants, ascending."""
+        for page_index, quotas in enumerate(self._quotas):
             for offset, quota in enumerate(quotas):
                 if quota >= 0:
-                    yield (page << PAGE_BITS) + offset
+                    yield (page_index << PAGE_BITS) + offset
 
     def retired_count(self) -> int:
-        """Tenants that went and keep their number still."""
+        """Returns how many removed tenants still keep their numbers."""
         return len(self._names) - self._count
 
 
 class TenantTableEditor:
-    """The next table after `previous`, by single changes; all that is not named stays.
+    """Builds a modified copy of `previous` by single changes; all other tenants stay as they are.
 
-    A tenant that is removed keeps its number until `retired_until`, which is `now` + RETENTION_US where it is
-    not told. Later editors of the same chain of tables may not be handed an earlier `now`. After a fault the
-    editor is of no use.
+    A removed tenant keeps its number until `retired_until`, by default `now` + RETENTION_US. `now` must not
+    decrease from one editor to the next along a sequence of tables. The editor must not be used after a
+    fault.
     """
 
     def __init__(
@@ -129,10 +130,10 @@
         self._quotas = ColumnEditor(table._quotas, UNUSED_PAGE)
         self._count = table._count
         self._retirements = list(table._retirements)
-        self._removed = array("I")  # in this edit
+        self._removed = array("I")  # numbers removed by this editor
 
     def put(self, name: str, quota: float, entry: int = 0) -> int:
-        """Add a tenant or set its quota; gives its number. Raises TenantFault, which names the entry."""
+        """Adds a tenant or sets its quota, and returns its number. Raises TenantFault with the entry."""
         check_tenant(name, quota, entry)
         number = self._names.find(name)
         if number is None:
@@ -144,7 +145,7 @@
         return number
 
     def get(self, name: str) -> float | None:
-        """The quota of a tenant that is present, None of one that is not."""
+        """Returns the quota of a present tenant, or None if it is not present."""
         number = self._names.find(name)
         if number is None:
             return None
@@ -152,7 +153,7 @@
         return quota if quota >= 0 else None
 
     def remove(self, name: str) -> bool:
-        """Retire a tenant; False where it is not present."""
+        """Retires a tenant. Returns False if it is not present."""
         number = self._names.find(name)
         if number is None or self._quotas.get(number) < 0:
             return False
@@ -160,7 +161,7 @@
         return True
 
     def build(self) -> TenantTable:
-        """The table; the editor is of no use after it."""
+        """Returns the new table; the editor must not be used afterwards."""
         self._drop_expired(DROPS_PER_EDIT)
         return self._build_table()
 
@@ -177,12 +178,12 @@
         self._count -= 1
 
     def _drop_expired(self, limit: int) -> int:
-        """Forget retired tenants whose time has come, oldest first; gives how many were looked at."""
+        """Drops at most `limit` expired tenants, oldest first, and returns how many were examined."""
         if not self._retirements or self._retirements[0].until > self.now:
             return 0
         oldest = self._retirements[0]
         for number in oldest.numbers[-limit:]:
-            if self._quotas.get(number) == -float(oldest.until):  # else it came back, or went again later
+            if self._quotas.get(number) == -float(oldest.until):  # else added again since
                 self._names.drop(number)
                 self._quotas.set(number, UNUSED)
         remaining = oldest.numbers[:-limit]
@@ -196,10 +197,10 @@
 
 
 class TenantTableBuilder(TenantTableEditor):
-    """The next table after `previous`, by its whole list: a tenant that is not added again is removed.
+    """Builds a new table from a complete list: a tenant of `previous` that is not added again is removed.
 
-    Adding does its share of the work at once, a few microseconds an entry; what is left is done by `build`,
-    or in steps by `build_steps`, after which `table` is there.
+    Adding takes a few microseconds per entry. The remaining work is done by `build`, or incrementally by
+    `build_steps`, after which `table` is available.
     """
 
     def __init__(
@@ -213,13 +214,13 @@
 
     @property
     def table(self) -> TenantTable:
-        """What was built. Raises RuntimeError before the last step."""
+        """The table that was built. Raises RuntimeError before the last step."""
         if self._table is None:
             raise RuntimeError("the table is not built yet")
         return self._table
 
     def add(self, name: str, quota: float = 0.0) -> int:
-        """One entry; gives its number. Raises TenantFault, which names the entry."""
+        """Adds one entry and returns its number. Raises TenantFault with the entry."""
         number = self.put(name, quota, self._added_count)
         if not self._added.add(number):
             raise DuplicateTenant(self._added_count, f"the name {name!r} stands twice")
@@ -227,13 +228,13 @@
         return number
 
     def build(self) -> TenantTable:
-        """All steps at once."""
+        """Runs all steps at once and returns the table."""
         for _ in self.build_steps(ENTRIES_PER_STEP):
             pass
         return self.table
 
     def build_steps(self, entries_per_step: int = ENTRIES_PER_STEP) -> Iterator[None]:
-        """Retire who is not there any more, and drop those whose time has come, a step at a time."""
+        """Retires tenants that were not added again and drops expired ones, incrementally."""
         for first in range(0, self._previous_used, entries_per_step):
             for number in range(first, min(self._previous_used, first + entries_per_step)):
                 if number not in self._added and self._quotas.get(number) >= 0:
@@ -245,7 +246,7 @@
 
 
 def check_tenant(name: str, quota: float, entry: int) -> None:
-    """Raises TenantFault where name or quota is out of bounds."""
+    """Raises TenantFault if the name or the quota is out of bounds."""
     if not isinstance(name, str) or not 1 <= len(name) <= MAX_NAME_CHARACTERS:
         raise TenantFault(entry, f"name: expected a text of 1 to {MAX_NAME_CHARACTERS} characters")
     if isinstance(quota, bool) or not isinstance(quota, int | float) or not 0 <= quota <= MAX_QUOTA:
