--- a/limeridge/config.py
+++ b/limeridge/config.py
@@ -19,11 +19,11 @@
 
 from limeridge.configuration.reading import (
     BadDocument,
-    ChangedMeanwhile,
+    ChangedDuringRead,
     Document,
     Steps,
-    file_pieces,
-    run_through,
+    read_chunks,
+    run_to_completion,
 )
 from limeridge.configuration.tenants import (
     RETENTION_US,
@@ -143,14 +143,14 @@
 RETIREMENTS_WORK = 25
 
 
-def read(path: str | None, load: Callable[[str], Iterable[bytes]] = file_pieces) -> Setup:
+def read(path: str | None, load: Callable[[str], Iterable[bytes]] = read_chunks) -> Setup:
     """The file that `BALANCER_CONFIG` names, read in one go. Raises Unusable."""
-    return run_through(reading(path, load))
+    return run_to_completion(reading(path, load))
 
 
 def reading(
     path: str | None,
-    load: Callable[[str], Iterable[bytes]] = file_pieces,
+    load: Callable[[str], Iterable[bytes]] = read_chunks,
     before: Setup | None = None,
     now: int = 0,
 ) -> Steps[Setup]:
@@ -166,7 +166,7 @@
         value = yield from Document(load(path), {"settings.accounts": accounts.begin}).read()
     except OSError as trouble:
         raise Unusable(f"BALANCER_CONFIG: expected a file that can be read, got {trouble.strerror}") from None
-    except ChangedMeanwhile:
+    except ChangedDuringRead:
         raise Unusable("BALANCER_CONFIG: expected a file that stays while it is read, it changed") from None
     except BadDocument as trouble:
         raise Unusable(f"BALANCER_CONFIG: expected JSON, got {trouble}") from None
@@ -183,7 +183,7 @@
         for item in listed:
             take(item)
         value = value | {"settings": settings | {"accounts": []}}
-    return run_through(_setting_up(value, accounts))
+    return run_to_completion(_setting_up(value, accounts))
 
 
 def _setting_up(value: dict[str, Any], accounts: Accounts) -> Steps[Setup]:
--- a/limeridge/configuration/application.py
+++ b/limeridge/configuration/application.py
@@ -54,8 +54,8 @@
 )
 # Where members deal out the calls below, what they were told of the longest deadline must stay true.
 FIXED_FOR_MEMBERS = frozenset({"classes.N.deadline"})
-CLASS = "classes.N."
-CLASS_LISTS: dict[str, Value] = {"familyInfo.classCalls": True, "familyInfo.classSkipWorth": 0.0}
+CLASS_PREFIX = "classes.N."
+PER_CLASS_DEFAULTS: dict[str, Value] = {"familyInfo.classCalls": True, "familyInfo.classSkipWorth": 0.0}
 
 
 @dataclass(slots=True, frozen=True)
@@ -67,39 +67,39 @@
     needs_restart: tuple[str, ...]  # what differs in the file and stays as it was, by name
 
 
-def revised(old: Setup, new: Setup, fixed: frozenset[str] = frozenset()) -> Revision:
+def plan_revision(old: Setup, new: Setup, fixed: frozenset[str] = frozenset()) -> Revision:
     """`old` with all of `new` that changes live, but for the settings that are `fixed` here."""
-    live = LIVE_SETTINGS - fixed
-    plain, stay = _revised_settings(old, new, live)
+    live_paths = LIVE_SETTINGS - fixed
+    plain, unchanged = _merge_settings(old, new, live_paths)
     setup = replace(old, plain=plain, **{name: getattr(new, name) for name in LIVE_FIELDS})
-    fixed_fields = [
+    restart_fields = [
         each.name for each in fields(Setup) if each.name not in (*LIVE_FIELDS, "plain", "products")
     ]
     return Revision(
         setup,
         tuple(sorted(name for name in ADDRESSES if getattr(old, name) != getattr(new, name))),
-        (*(name for name in fixed_fields if getattr(old, name) != getattr(new, name)), *stay),
+        (*(name for name in restart_fields if getattr(old, name) != getattr(new, name)), *unchanged),
     )
 
 
-def _revised_settings(old: Setup, new: Setup, live: frozenset[str]) -> tuple[dict[str, Value], list[str]]:
+def _merge_settings(old: Setup, new: Setup, live_paths: frozenset[str]) -> tuple[dict[str, Value], list[str]]:
     """The settings that are to be in force, and the paths of those that stay as they were."""
-    plain, stay = dict(new.plain), []
-    for path in _single_paths():
+    plain, unchanged = dict(new.plain), []
+    for path in _shared_paths():
         name = name_of(path)
-        if path not in live and old.plain.get(name) != new.plain.get(name):
-            _carry(old.plain, name, plain, name)
-            stay.append(f"settings.{path}")
+        if path not in live_paths and old.plain.get(name) != new.plain.get(name):
+            _copy_setting(old.plain, name, plain, name)
+            unchanged.append(f"settings.{path}")
     if old.products != new.products:
-        stay.append("settings.classes")
+        unchanged.append("settings.classes")
         _match_classes(old, new, plain)
-    for number, source in enumerate(_sources(old, new)):
+    for number, source in enumerate(_matching_classes(old, new)):
         for path in [] if source is None else _class_paths():
             name = _class_name(path, number)
-            if path not in live and old.plain.get(name) != plain.get(name):
-                _carry(old.plain, name, plain, name)
-                stay.append(f"settings.{path.replace('N', str(source), 1)}")
-    return plain, stay
+            if path not in live_paths and old.plain.get(name) != plain.get(name):
+                _copy_setting(old.plain, name, plain, name)
+                unchanged.append(f"settings.{path.replace('N', str(source), 1)}")
+    return plain, unchanged
 
 
 def _match_classes(old: Setup, new: Setup, plain: dict[str, Value]) -> None:
@@ -108,38 +108,40 @@
     for name in [name for name in plain if name.startswith("products.")]:
         del plain[name]
     plain["products.count"] = len(old.products)
-    for number, source in enumerate(_sources(old, new)):
-        origin, place = (old, number) if source is None else (new, source)
+    for number, source in enumerate(_matching_classes(old, new)):
+        origin, origin_number = (old, number) if source is None else (new, source)
         for path in ("classes.N.name", *_class_paths()):
-            _carry(origin.plain, _class_name(path, place), plain, _class_name(path, number))
-    for path, default in CLASS_LISTS.items():
+            _copy_setting(origin.plain, _class_name(path, origin_number), plain, _class_name(path, number))
+    for path, default in PER_CLASS_DEFAULTS.items():
         name = name_of(path)
         if name in plain:
             plain[name] = [
-                _item(old if source is None else new, name, number if source is None else source, default)
-                for number, source in enumerate(_sources(old, new))
+                _class_value(
+                    old if source is None else new, name, number if source is None else source, default
+                )
+                for number, source in enumerate(_matching_classes(old, new))
             ]
 
 
-def _sources(old: Setup, new: Setup) -> list[int | None]:
+def _matching_classes(old: Setup, new: Setup) -> list[int | None]:
     """For each class of the old configuration its number in the new one."""
     if old.products == new.products:
         return list(range(len(old.products)))
-    places = {name: number for number, name in enumerate(new.products)}
-    return [places.get(name) for name in old.products]
+    new_numbers = {name: number for number, name in enumerate(new.products)}
+    return [new_numbers.get(name) for name in old.products]
 
 
-def _single_paths() -> Iterator[str]:
+def _shared_paths() -> Iterator[str]:
     """The settings that have one place, lists of plain values among them."""
     for path, (kind, _, _, _) in SETTINGS.items():
-        inner = f"{path}.N" in SETTINGS
-        if ".N" not in path and kind != OBJECT and (kind != LIST or inner):
+        has_items = f"{path}.N" in SETTINGS
+        if ".N" not in path and kind != OBJECT and (kind != LIST or has_items):
             yield path
 
 
 def _class_paths() -> Iterator[str]:
     for path in SETTINGS:
-        if path.startswith(CLASS) and path != "classes.N.name":
+        if path.startswith(CLASS_PREFIX) and path != "classes.N.name":
             yield path
 
 
@@ -147,13 +149,13 @@
     return name_of(path.replace("N", str(number), 1))
 
 
-def _carry(source: Mapping[str, Value], name: str, target: dict[str, Value], under: str) -> None:
+def _copy_setting(source: Mapping[str, Value], name: str, target: dict[str, Value], target_name: str) -> None:
     if name in source:
-        target[under] = source[name]
+        target[target_name] = source[name]
     else:
-        target.pop(under, None)
+        target.pop(target_name, None)
 
 
-def _item(setup: Setup, name: str, number: int, default: Value) -> Any:
+def _class_value(setup: Setup, name: str, number: int, default: Value) -> Any:
     values = setup.plain.get(name)
     return values[number] if isinstance(values, list) and number < len(values) else default
--- a/limeridge/configuration/chain.py
+++ b/limeridge/configuration/chain.py
@@ -19,12 +19,12 @@
 from limeridge.configuration.changes import (
     Change,
     Draft,
-    draft_bytes,
-    fingerprint_of,
-    packed,
-    text_bytes,
+    draft_fingerprint,
+    encode_draft,
+    encode_fields,
+    encode_text,
 )
-from limeridge.configuration.checks import Fault, Refused, check_fit, check_form
+from limeridge.configuration.checks import Fault, Refused, check_applicable, check_format
 from limeridge.configuration.tables import DIGEST_BYTES, InapplicableChange, Tables, TablesEditor
 
 HASH_BYTES = 16
@@ -135,15 +135,15 @@
 
 def hash_of(previous: bytes, revision: Revision, digest: int) -> bytes:
     token = revision.token
-    covered = packed(
+    covered = encode_fields(
         previous,
         b"%d" % revision.number,
         b"%d" % token.number,
-        text_bytes(token.holder),
+        encode_text(token.holder),
         b"%d" % token.nonce,
         b"%d" % revision.time,
         b"%d" % revision.refused,
-        draft_bytes(revision.draft),
+        encode_draft(revision.draft),
         digest.to_bytes(DIGEST_BYTES, "big"),
     )
     return blake2b(covered, digest_size=HASH_BYTES).digest()
@@ -202,7 +202,7 @@
         before = self._remembered.get(draft.change_id)
         if before is None:
             return None
-        if before.fingerprint != fingerprint_of(draft):
+        if before.fingerprint != draft_fingerprint(draft):
             raise ChangeIdReused(f"the change id {draft.change_id!r} stands for other changes")
         return Receipt(before.number, before.hash, again=True, refused=before.refused)
 
@@ -216,10 +216,10 @@
             raise StaleToken(f"revision {self.head.number} was written under another token")
         if (receipt := self.receipt(draft)) is not None:
             return receipt
-        check_form(draft)
+        check_format(draft)
         faults: tuple[Fault, ...] = ()
         try:
-            check_fit(self.tables, draft)
+            check_applicable(self.tables, draft)
         except Refused as refused:
             faults = refused.faults
         revision = Revision(self.head.number + 1, token, time, draft, refused=bool(faults))
@@ -321,7 +321,7 @@
         self.tables = tables
         draft = entry.revision.draft
         self._remembered[draft.change_id] = Remembered(
-            entry.revision.number, entry.hash, fingerprint_of(draft), entry.revision.refused
+            entry.revision.number, entry.hash, draft_fingerprint(draft), entry.revision.refused
         )
         while len(self._remembered) > REMEMBERED_MOST:
             del self._remembered[next(iter(self._remembered))]
--- a/limeridge/configuration/changes.py
+++ b/limeridge/configuration/changes.py
@@ -10,11 +10,11 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-CHANGES_MOST = 1_000  # in one revision
-DRAFT_MOST = 1 << 19  # canonical bytes of one
-AUTHOR_MOST = 256  # characters
-REASON_MOST = 1_024
-CHANGE_ID_MOST = 128
+MAX_CHANGES = 1_000  # in one revision
+MAX_DRAFT_BYTES = 1 << 19  # of its canonical encoding
+MAX_AUTHOR_CHARACTERS = 256
+MAX_REASON_CHARACTERS = 1_024
+MAX_CHANGE_ID_CHARACTERS = 128
 
 
 @dataclass(slots=True, frozen=True)
@@ -64,42 +64,42 @@
     changes: tuple[Change, ...]
 
 
-def packed(*fields: bytes) -> bytes:
+def encode_fields(*fields: bytes) -> bytes:
     """Fields one behind the other, each with its length, so that no two lists give the same bytes."""
     return b"".join(b"%d:%b" % (len(field), field) for field in fields)
 
 
-def text_bytes(text: str) -> bytes:
+def encode_text(text: str) -> bytes:
     return text.encode("utf-8", "surrogatepass")
 
 
-def number_bytes(number: float) -> bytes:
+def encode_number(number: float) -> bytes:
     return struct.pack(">d", number + 0.0)  # so that minus zero is zero
 
 
-def change_bytes(change: Change) -> bytes:
+def encode_change(change: Change) -> bytes:
     match change:
         case PutTenant(name, quota):
-            return packed(b"put-tenant", text_bytes(name), number_bytes(quota))
+            return encode_fields(b"put-tenant", encode_text(name), encode_number(quota))
         case RemoveTenant(name):
-            return packed(b"remove-tenant", text_bytes(name))
+            return encode_fields(b"remove-tenant", encode_text(name))
         case PutRoute(prefix, class_name):
-            return packed(b"put-route", text_bytes(prefix), text_bytes(class_name))
+            return encode_fields(b"put-route", encode_text(prefix), encode_text(class_name))
         case RemoveRoute(prefix):
-            return packed(b"remove-route", text_bytes(prefix))
+            return encode_fields(b"remove-route", encode_text(prefix))
         case SetClassLimit(class_name, share):
-            return packed(b"set-class-limit", text_bytes(class_name), number_bytes(share))
+            return encode_fields(b"set-class-limit", encode_text(class_name), encode_number(share))
 
 
-def draft_bytes(draft: Draft) -> bytes:
-    return packed(
-        text_bytes(draft.change_id),
-        text_bytes(draft.author),
-        text_bytes(draft.reason),
-        *map(change_bytes, draft.changes),
+def encode_draft(draft: Draft) -> bytes:
+    return encode_fields(
+        encode_text(draft.change_id),
+        encode_text(draft.author),
+        encode_text(draft.reason),
+        *map(encode_change, draft.changes),
     )
 
 
-def fingerprint_of(draft: Draft) -> bytes:
+def draft_fingerprint(draft: Draft) -> bytes:
     """Tells whether a repeated asking asks for the same."""
-    return blake2b(draft_bytes(draft), digest_size=16).digest()
+    return blake2b(encode_draft(draft), digest_size=16).digest()
--- a/limeridge/configuration/checks.py
+++ b/limeridge/configuration/checks.py
@@ -13,11 +13,11 @@
 from itertools import islice
 
 from limeridge.configuration.changes import (
-    AUTHOR_MOST,
-    CHANGE_ID_MOST,
-    CHANGES_MOST,
-    DRAFT_MOST,
-    REASON_MOST,
+    MAX_AUTHOR_CHARACTERS,
+    MAX_CHANGE_ID_CHARACTERS,
+    MAX_CHANGES,
+    MAX_DRAFT_BYTES,
+    MAX_REASON_CHARACTERS,
     Change,
     Draft,
     PutRoute,
@@ -25,62 +25,62 @@
     RemoveRoute,
     RemoveTenant,
     SetClassLimit,
-    draft_bytes,
+    encode_draft,
 )
 from limeridge.configuration.routes import prefix_fault
 from limeridge.configuration.tables import ClassLimits, Tables
 from limeridge.configuration.tenants import MAX_NAME_CHARACTERS, MAX_QUOTA
 
-TENANTS_MOST = 500_000  # half of an instance's numbers: the rest is for tenants that went a short while ago
-ROUTES_MOST = 500_000
-FAULTS_MOST = 100  # told of one draft
-SHARES_MOST = 1.0
-SHARES_SLACK = 1e-9  # for sums of parts such as a third
+MAX_TENANTS = 500_000  # half of an instance's numbers: the rest is for tenants that went a short while ago
+MAX_ROUTES = 500_000
+MAX_FAULTS = 100  # told of one draft
+MAX_SHARE_SUM = 1.0
+SHARE_SUM_TOLERANCE = 1e-9  # for sums of parts such as a third
 
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """`place` is the path of the entry, as in `changes.3.quota`."""
+    """`path` is the place of the entry, as in `changes.3.quota`."""
 
-    place: str
+    path: str
     expected: str
 
     def __str__(self) -> str:
-        return f"{self.place}: {self.expected}"
+        return f"{self.path}: {self.expected}"
 
 
 class Refused(Exception):
-    """The draft can't be accepted; `faults` has at least one, FAULTS_MOST at most."""
+    """The draft can't be accepted; `faults` has at least one, at most MAX_FAULTS."""
 
     def __init__(self, faults: tuple[Fault, ...]) -> None:
         super().__init__("; ".join(map(str, faults)))
         self.faults = faults
 
 
-def check_form(draft: Draft) -> None:
+def check_format(draft: Draft) -> None:
     """Raises Refused for what no tables could take: types, bounds, one entry changed twice."""
-    _refuse(_form_faults(draft))
+    _raise_if_any(_format_faults(draft))
 
 
-def check_fit(tables: Tables, draft: Draft) -> None:
+def check_applicable(tables: Tables, draft: Draft) -> None:
     """Raises Refused where a draft of good form can't be made to these tables: references, sums, sizes."""
-    _refuse(_fit_faults(tables, draft))
+    _raise_if_any(_applicability_faults(tables, draft))
 
 
 def check_draft(tables: Tables, draft: Draft) -> None:
     """Raises Refused where the draft can't be made to the tables."""
-    check_form(draft)
-    check_fit(tables, draft)
+    check_format(draft)
+    check_applicable(tables, draft)
 
 
-def routes_without_effect(tables: Tables, draft: Draft) -> Iterator[Fault]:
+def redundant_routes(tables: Tables, draft: Draft) -> Iterator[Fault]:
     """Not refused, but told: a route to the class that the next shorter one leads to anyway.
 
     `tables` are those with the draft's changes in them.
     """
     for index, change in enumerate(draft.changes):
         if isinstance(change, PutRoute):
-            covering = tables.routes.covering(change.prefix)
+            covering = tables.routes.covering_route(change.prefix)
             if covering is not None and tables.limits.names[covering.class_number] == change.class_name:
                 yield Fault(
                     f"changes.{index}.prefix",
@@ -88,52 +88,52 @@
                 )
 
 
-def _refuse(found: Iterator[Fault]) -> None:
-    faults = tuple(islice(found, FAULTS_MOST))
+def _raise_if_any(faults_found: Iterator[Fault]) -> None:
+    faults = tuple(islice(faults_found, MAX_FAULTS))
     if faults:
         raise Refused(faults)
 
 
-def _form_faults(draft: Draft) -> Iterator[Fault]:
-    alone = list(islice(_faults_alone(draft), FAULTS_MOST))
-    if alone:
-        yield from alone
-    elif len(draft_bytes(draft)) > DRAFT_MOST:
-        yield Fault("changes", f"expected at most {DRAFT_MOST} bytes in all")
+def _format_faults(draft: Draft) -> Iterator[Fault]:
+    single_faults = list(islice(_single_change_faults(draft), MAX_FAULTS))
+    if single_faults:
+        yield from single_faults
+    elif len(encode_draft(draft)) > MAX_DRAFT_BYTES:
+        yield Fault("changes", f"expected at most {MAX_DRAFT_BYTES} bytes in all")
     else:
-        yield from _double_faults(draft)
+        yield from _duplicate_faults(draft)
 
 
-def _faults_alone(draft: Draft) -> Iterator[Fault]:
+def _single_change_faults(draft: Draft) -> Iterator[Fault]:
     yield from _text_faults(draft)
-    if len(draft.changes) > CHANGES_MOST:
-        yield Fault("changes", f"expected at most {CHANGES_MOST}")
+    if len(draft.changes) > MAX_CHANGES:
+        yield Fault("changes", f"expected at most {MAX_CHANGES}")
         return
     for index, change in enumerate(draft.changes):
         yield from _change_faults(change, f"changes.{index}")
 
 
-def _fit_faults(tables: Tables, draft: Draft) -> Iterator[Fault]:
+def _applicability_faults(tables: Tables, draft: Draft) -> Iterator[Fault]:
     for index, change in enumerate(draft.changes):
         yield from _reference_faults(tables, change, f"changes.{index}")
-    yield from _share_faults(tables.limits, draft)
-    yield from _size_faults(tables, draft)
+    yield from _share_sum_faults(tables.limits, draft)
+    yield from _table_size_faults(tables, draft)
 
 
 def _text_faults(draft: Draft) -> Iterator[Fault]:
-    for place, text, most in (
-        ("change_id", draft.change_id, CHANGE_ID_MOST),
-        ("author", draft.author, AUTHOR_MOST),
-        ("reason", draft.reason, REASON_MOST),
+    for path, text, maximum in (
+        ("change_id", draft.change_id, MAX_CHANGE_ID_CHARACTERS),
+        ("author", draft.author, MAX_AUTHOR_CHARACTERS),
+        ("reason", draft.reason, MAX_REASON_CHARACTERS),
     ):
-        yield from _text_fault(place, text, most)
+        yield from _text_fault(path, text, maximum)
 
 
-def _text_fault(place: str, text: object, most: int) -> Iterator[Fault]:
-    if not isinstance(text, str) or not 1 <= len(text) <= most:
-        yield Fault(place, f"expected a text of 1 to {most} characters")
+def _text_fault(path: str, text: object, maximum: int) -> Iterator[Fault]:
+    if not isinstance(text, str) or not 1 <= len(text) <= maximum:
+        yield Fault(path, f"expected a text of 1 to {maximum} characters")
     elif not _is_unicode(text):
-        yield Fault(place, "expected Unicode, got half of a surrogate pair")
+        yield Fault(path, "expected Unicode, got half of a surrogate pair")
 
 
 def _is_unicode(text: str) -> bool:
@@ -141,69 +141,70 @@
     return not any("\ud800" <= character <= "\udfff" for character in text)
 
 
-def _number_fault(place: str, number: object, most: float) -> Iterator[Fault]:
-    fits = isinstance(number, int | float) and not isinstance(number, bool)
-    if not fits or not 0 <= number <= most:  # type: ignore[operator]
-        yield Fault(place, f"expected a number from 0 to {most:g}")
+def _number_fault(path: str, number: object, maximum: float) -> Iterator[Fault]:
+    is_number = isinstance(number, int | float) and not isinstance(number, bool)
+    if not is_number or not 0 <= number <= maximum:  # type: ignore[operator]
+        yield Fault(path, f"expected a number from 0 to {maximum:g}")
 
 
-def _change_faults(change: Change, place: str) -> Iterator[Fault]:
+def _change_faults(change: Change, path: str) -> Iterator[Fault]:
     """Types and bounds of one change."""
     match change:
         case PutTenant(name, quota):
-            yield from _text_fault(f"{place}.name", name, MAX_NAME_CHARACTERS)
-            yield from _number_fault(f"{place}.quota", quota, MAX_QUOTA)
+            yield from _text_fault(f"{path}.name", name, MAX_NAME_CHARACTERS)
+            yield from _number_fault(f"{path}.quota", quota, MAX_QUOTA)
         case RemoveTenant(name):
-            yield from _text_fault(f"{place}.name", name, MAX_NAME_CHARACTERS)
+            yield from _text_fault(f"{path}.name", name, MAX_NAME_CHARACTERS)
         case PutRoute(prefix, class_name):
-            yield from _prefix_fault(prefix, place)
-            yield from _text_fault(f"{place}.class_name", class_name, MAX_NAME_CHARACTERS)
+            yield from _prefix_fault(prefix, path)
+            yield from _text_fault(f"{path}.class_name", class_name, MAX_NAME_CHARACTERS)
         case RemoveRoute(prefix):
-            yield from _prefix_fault(prefix, place)
+            yield from _prefix_fault(prefix, path)
         case SetClassLimit(class_name, share):
-            yield from _text_fault(f"{place}.class_name", class_name, MAX_NAME_CHARACTERS)
-            yield from _number_fault(f"{place}.share", share, SHARES_MOST)
+            yield from _text_fault(f"{path}.class_name", class_name, MAX_NAME_CHARACTERS)
+            yield from _number_fault(f"{path}.share", share, MAX_SHARE_SUM)
 
 
-def _prefix_fault(prefix: str, place: str) -> Iterator[Fault]:
+def _prefix_fault(prefix: str, path: str) -> Iterator[Fault]:
     if (fault := prefix_fault(prefix)) is not None:
-        yield Fault(f"{place}.prefix", fault)
+        yield Fault(f"{path}.prefix", fault)
     elif not _is_unicode(prefix):
-        yield Fault(f"{place}.prefix", "expected Unicode, got half of a surrogate pair")
+        yield Fault(f"{path}.prefix", "expected Unicode, got half of a surrogate pair")
 
 
-def _reference_faults(tables: Tables, change: Change, place: str) -> Iterator[Fault]:
+def _reference_faults(tables: Tables, change: Change, path: str) -> Iterator[Fault]:
     """Of one change to what is not there."""
     match change:
         case RemoveTenant(name):
             if tables.tenants.find(name) is None:
-                yield Fault(f"{place}.name", f"there is no tenant {name!r}")
+                yield Fault(f"{path}.name", f"there is no tenant {name!r}")
         case RemoveRoute(prefix):
             if tables.routes.get(prefix) is None:
-                yield Fault(f"{place}.prefix", f"there is no route {prefix!r}")
+                yield Fault(f"{path}.prefix", f"there is no route {prefix!r}")
         case PutRoute(_, class_name) | SetClassLimit(class_name, _):
-            yield from _class_fault(tables.limits, class_name, place)
+            yield from _class_fault(tables.limits, class_name, path)
 
 
-def _class_fault(limits: ClassLimits, class_name: str, place: str) -> Iterator[Fault]:
+def _class_fault(limits: ClassLimits, class_name: str, path: str) -> Iterator[Fault]:
     if limits.find(class_name) is None:
-        yield Fault(f"{place}.class_name", f"there is no class {class_name!r}")
+        yield Fault(f"{path}.class_name", f"there is no class {class_name!r}")
 
 
-def _double_faults(draft: Draft) -> Iterator[Fault]:
+def _duplicate_faults(draft: Draft) -> Iterator[Fault]:
     """Two changes of one entry: the later would hide the earlier."""
-    first: dict[tuple[str, str], int] = {}
+    first_index: dict[tuple[str, str], int] = {}
     for index, change in enumerate(draft.changes):
-        what = _changed(change)
-        if what in first:
-            kind, name = what
+        entry = _changed_entry(change)
+        if entry in first_index:
+            kind, name = entry
             yield Fault(
-                f"changes.{index}", f"the {kind} {name!r} is changed twice, first by changes.{first[what]}"
+                f"changes.{index}",
+                f"the {kind} {name!r} is changed twice, first by changes.{first_index[entry]}",
             )
-        first.setdefault(what, index)
+        first_index.setdefault(entry, index)
 
 
-def _changed(change: Change) -> tuple[str, str]:
+def _changed_entry(change: Change) -> tuple[str, str]:
     match change:
         case PutTenant(name) | RemoveTenant(name):
             return "tenant", name
@@ -213,19 +214,21 @@
             return "class", class_name
 
 
-def _share_faults(limits: ClassLimits, draft: Draft) -> Iterator[Fault]:
+def _share_sum_faults(limits: ClassLimits, draft: Draft) -> Iterator[Fault]:
     shares = dict(zip(limits.names, limits.shares, strict=True))
-    last = -1
+    last_index = -1
     for index, change in enumerate(draft.changes):
         if isinstance(change, SetClassLimit):
             shares[change.class_name] = change.share
-            last = index
-    together = math.fsum(shares.values())
-    if last >= 0 and together > SHARES_MOST + SHARES_SLACK:
-        yield Fault(f"changes.{last}.share", f"all classes' shares come to {together:g}, expected at most 1")
+            last_index = index
+    total = math.fsum(shares.values())
+    if last_index >= 0 and total > MAX_SHARE_SUM + SHARE_SUM_TOLERANCE:
+        yield Fault(
+            f"changes.{last_index}.share", f"all classes' shares come to {total:g}, expected at most 1"
+        )
 
 
-def _size_faults(tables: Tables, draft: Draft) -> Iterator[Fault]:
+def _table_size_faults(tables: Tables, draft: Draft) -> Iterator[Fault]:
     tenants, routes = len(tables.tenants), len(tables.routes)
     for index, change in enumerate(draft.changes):
         match change:
@@ -237,7 +240,7 @@
                 tenants -= 1
             case RemoveRoute():
                 routes -= 1
-        for kind, count, most in (("tenants", tenants, TENANTS_MOST), ("routes", routes, ROUTES_MOST)):
-            if count > most:
-                yield Fault(f"changes.{index}", f"expected at most {most} {kind}")
+        for kind, entry_count, maximum in (("tenants", tenants, MAX_TENANTS), ("routes", routes, MAX_ROUTES)):
+            if entry_count > maximum:
+                yield Fault(f"changes.{index}", f"expected at most {maximum} {kind}")
                 return
--- a/limeridge/configuration/encoding.py
+++ b/limeridge/configuration/encoding.py
@@ -17,11 +17,11 @@
 
 from limeridge.configuration.chain import HASH_BYTES, Entry, FencingToken, Head, Revision
 from limeridge.configuration.changes import (
-    AUTHOR_MOST,
-    CHANGE_ID_MOST,
-    CHANGES_MOST,
-    DRAFT_MOST,
-    REASON_MOST,
+    MAX_AUTHOR_CHARACTERS,
+    MAX_CHANGE_ID_CHARACTERS,
+    MAX_CHANGES,
+    MAX_DRAFT_BYTES,
+    MAX_REASON_CHARACTERS,
     Change,
     Draft,
     PutRoute,
@@ -29,9 +29,9 @@
     RemoveRoute,
     RemoveTenant,
     SetClassLimit,
-    draft_bytes,
+    encode_draft,
 )
-from limeridge.configuration.routes import CLASSES_MOST, PREFIX_MOST
+from limeridge.configuration.routes import MAX_CLASSES, MAX_PREFIX_CHARACTERS
 from limeridge.configuration.snapshot import PART_ENTRIES, SnapshotHeader, SnapshotPart
 from limeridge.configuration.subscriber import AskDeltas, AskSnapshot, Deltas, Why, deltas_of
 from limeridge.configuration.tables import DIGEST_BYTES, ClassLimits
@@ -49,7 +49,7 @@
 Hash = Annotated[bytes, Meta(min_length=HASH_BYTES, max_length=HASH_BYTES)]
 Digest = Annotated[bytes, Meta(min_length=DIGEST_BYTES, max_length=DIGEST_BYTES)]
 Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_CHARACTERS)]
-Prefix = Annotated[str, Meta(min_length=1, max_length=PREFIX_MOST)]
+Prefix = Annotated[str, Meta(min_length=1, max_length=MAX_PREFIX_CHARACTERS)]
 Quota = Annotated[float, Meta(ge=0, le=MAX_QUOTA)]
 Share = Annotated[float, Meta(ge=0, le=1)]
 
@@ -99,10 +99,10 @@
     token: WireToken
     time: Time
     refused: bool
-    change_id: Annotated[str, Meta(max_length=CHANGE_ID_MOST)]
-    author: Annotated[str, Meta(max_length=AUTHOR_MOST)]
-    reason: Annotated[str, Meta(max_length=REASON_MOST)]
-    changes: Annotated[tuple[WireChange, ...], Meta(max_length=CHANGES_MOST)]
+    change_id: Annotated[str, Meta(max_length=MAX_CHANGE_ID_CHARACTERS)]
+    author: Annotated[str, Meta(max_length=MAX_AUTHOR_CHARACTERS)]
+    reason: Annotated[str, Meta(max_length=MAX_REASON_CHARACTERS)]
+    changes: Annotated[tuple[WireChange, ...], Meta(max_length=MAX_CHANGES)]
 
 
 class WireHead(_Wire, tag=1, frozen=True):
@@ -125,8 +125,8 @@
 
 class WireSnapshotHeader(_Wire, tag=4, frozen=True):
     entry: WireEntry
-    class_names: Annotated[tuple[Name, ...], Meta(max_length=CLASSES_MOST)]
-    class_shares: Annotated[tuple[Share, ...], Meta(max_length=CLASSES_MOST)]
+    class_names: Annotated[tuple[Name, ...], Meta(max_length=MAX_CLASSES)]
+    class_shares: Annotated[tuple[Share, ...], Meta(max_length=MAX_CLASSES)]
     tenants: Natural
     routes: Natural
     parts: Natural
@@ -183,8 +183,8 @@
     size = 0
     for entry in entries:
         batch.append(entry)
-        size += len(draft_bytes(entry.revision.draft))
-        if len(batch) == REVISIONS_MOST or size >= DRAFT_MOST:
+        size += len(encode_draft(entry.revision.draft))
+        if len(batch) == REVISIONS_MOST or size >= MAX_DRAFT_BYTES:
             yield encode(deltas_of(batch))
             batch, size = [], 0
     if batch:
--- a/limeridge/configuration/reading.py
+++ b/limeridge/configuration/reading.py
@@ -23,14 +23,14 @@
 Result = TypeVar("Result")
 Steps = Generator[int, None, Result]
 
-TURN_WORK = 100  # that goes into one turn of the event loop
-PIECE = 65_536  # bytes read from a file at once
-PIECE_WORK = 10  # to read and decode one
+WORK_PER_TURN = 100  # that goes into one turn of the event loop
+CHUNK_BYTES = 65_536  # bytes read from a file at once
+CHUNK_WORK = 10  # to read and decode one
 ITEMS_PER_STEP = 5
-VALUE_MOST = 262_144  # characters of one value, which is decoded in one step
-DEPTH = 1  # objects nested so deep are gone through member by member; what lies deeper is one value
+MAX_VALUE_CHARACTERS = 262_144  # characters of one value, which is decoded in one step
+MAX_STREAMED_DEPTH = 1  # objects nested so deep are read property by property; what lies deeper is one value
 
-NUMBER_GOES_ON = ("", *"0123456789.eE+-")
+NUMBER_CONTINUATIONS = ("", *"0123456789.eE+-")
 WHITE_SPACE = re.compile(r"[ \t\n\r]*")
 
 
@@ -38,31 +38,31 @@
     """Not a JSON document; the text says what was met, and on which line."""
 
 
-class ChangedMeanwhile(Exception):
+class ChangedDuringRead(Exception):
     """The file was written to while it was read."""
 
 
-def file_pieces(path: str) -> Iterator[bytes]:
-    """A file's content piece by piece. Raises OSError, and ChangedMeanwhile at the end of the file."""
+def read_chunks(path: str) -> Iterator[bytes]:
+    """A file's content piece by piece. Raises OSError, and ChangedDuringRead at the end of the file."""
     with open(path, "rb", buffering=0) as file:
-        before = _state(file.fileno())
-        while piece := file.read(PIECE):
-            yield piece
-        if _state(file.fileno()) != before:
-            raise ChangedMeanwhile
+        before = _file_version(file.fileno())
+        while chunk := file.read(CHUNK_BYTES):
+            yield chunk
+        if _file_version(file.fileno()) != before:
+            raise ChangedDuringRead
 
 
-def _state(descriptor: int) -> tuple[int, int] | None:
+def _file_version(descriptor: int) -> tuple[int, int] | None:
     """What changes when somebody writes to a file; None for what is no file, as a pipe."""
-    found = os.fstat(descriptor)
-    return (found.st_mtime_ns, found.st_size) if stat.S_ISREG(found.st_mode) else None
+    status = os.fstat(descriptor)
+    return (status.st_mtime_ns, status.st_size) if stat.S_ISREG(status.st_mode) else None
 
 
 def run_turn(steps: Steps[Result]) -> Result | None:
     """Goes on by one turn's share of work; None where more is left."""
     work = 0
     try:
-        while work < TURN_WORK:
+        while work < WORK_PER_TURN:
             work += next(steps)
     except StopIteration as end:
         result: Result = end.value
@@ -70,7 +70,7 @@
     return None
 
 
-def run_through(steps: Steps[Result]) -> Result:
+def run_to_completion(steps: Steps[Result]) -> Result:
     """All steps in one go."""
     while True:
         try:
@@ -88,139 +88,141 @@
     """
 
     def __init__(
-        self, pieces: Iterable[bytes], takers: Mapping[str, Callable[[], Callable[[Any], None]]]
+        self, chunks: Iterable[bytes], item_consumers: Mapping[str, Callable[[], Callable[[Any], None]]]
     ) -> None:
-        self._pieces = iter(pieces)
-        self._takers = takers
+        self._chunks = iter(chunks)
+        self._item_consumers = item_consumers
         self._decode = codecs.getincrementaldecoder("utf-8")().decode
-        self._scanner = json.JSONDecoder(parse_constant=_no_number)
+        self._scanner = json.JSONDecoder(parse_constant=_reject_constant)
         self._text = ""
-        self._at = 0
-        self._ended = False
-        self._lines = 1  # that begin before the text at hand
+        self._position = 0
+        self._at_end = False
+        self._line_count = 1  # line number at the start of `_text`
 
     def read(self) -> Steps[Any]:
         """The document's value. Raises BadDocument, and what the pieces raise."""
-        found = yield from self._value("", 0)
+        value = yield from self._read_value("", 0)
         if (yield from self._peek()):
-            raise self._fault("Extra data", self._at)
-        return found
-
-    def _value(self, path: str, depth: int) -> Steps[Any]:
-        mark = yield from self._peek()
-        if mark == "{" and depth <= DEPTH:
-            return (yield from self._object(path, depth))
-        if mark == "[" and 0 < depth <= DEPTH + 1:
-            return (yield from self._list(path))
-        return (yield from self._whole())
-
-    def _object(self, path: str, depth: int) -> Steps[dict[str, Any]]:
-        members: dict[str, Any] = {}
-        self._at += 1
+            raise self._error("Extra data", self._position)
+        return value
+
+    def _read_value(self, path: str, depth: int) -> Steps[Any]:
+        delimiter = yield from self._peek()
+        if delimiter == "{" and depth <= MAX_STREAMED_DEPTH:
+            return (yield from self._read_object(path, depth))
+        if delimiter == "[" and 0 < depth <= MAX_STREAMED_DEPTH + 1:
+            return (yield from self._read_list(path))
+        return (yield from self._decode_value())
+
+    def _read_object(self, path: str, depth: int) -> Steps[dict[str, Any]]:
+        properties: dict[str, Any] = {}
+        self._position += 1
         if (yield from self._peek()) == "}":
-            self._at += 1
-            return members
+            self._position += 1
+            return properties
         while True:
             if (yield from self._peek()) != '"':
-                raise self._fault("Expecting property name enclosed in double quotes", self._at)
-            name = yield from self._whole()
+                raise self._error("Expecting property name enclosed in double quotes", self._position)
+            name = yield from self._decode_value()
             yield from self._expect(":")
-            members[name] = yield from self._value(f"{path}.{name}" if path else name, depth + 1)
+            properties[name] = yield from self._read_value(f"{path}.{name}" if path else name, depth + 1)
             if (yield from self._expect(",", "}")) == "}":
-                return members
+                return properties
 
-    def _list(self, path: str) -> Steps[list[Any]]:
+    def _read_list(self, path: str) -> Steps[list[Any]]:
         items: list[Any] = []
-        take = self._takers[path]() if path in self._takers else items.append
-        self._at += 1
+        consume = self._item_consumers[path]() if path in self._item_consumers else items.append
+        self._position += 1
         if (yield from self._peek()) == "]":
-            self._at += 1
+            self._position += 1
             return items
-        number = 0
+        count = 0
         while True:
-            item, mark = self._item_at_hand() or (yield from self._item())
-            take(item)
-            number += 1
-            if number % ITEMS_PER_STEP == 0:
+            item, delimiter = self._buffered_item() or (yield from self._read_item())
+            consume(item)
+            count += 1
+            if count % ITEMS_PER_STEP == 0:
                 yield ITEMS_PER_STEP
-            if mark == "]":
+            if delimiter == "]":
                 return items
 
-    def _item_at_hand(self) -> tuple[Any, str] | None:
+    def _buffered_item(self) -> tuple[Any, str] | None:
         """The next item and the mark behind it, where the text at hand has both and nothing is wrong."""
         try:
-            found, end = self._scanner.raw_decode(self._text, self._skipped(self._at))
+            value, end = self._scanner.raw_decode(self._text, self._skip_white_space(self._position))
         except (ValueError, RecursionError):
             return None
-        at = self._skipped(end)
-        mark = self._text[at : at + 1]
-        if mark not in (",", "]"):
+        position = self._skip_white_space(end)
+        delimiter = self._text[position : position + 1]
+        if delimiter not in (",", "]"):
             return None
-        self._at = at + 1
-        return found, mark
+        self._position = position + 1
+        return value, delimiter
 
-    def _item(self) -> Steps[tuple[Any, str]]:
+    def _read_item(self) -> Steps[tuple[Any, str]]:
         """The same, reading on where need be. Raises BadDocument."""
         yield from self._peek()
-        found = yield from self._whole()
-        return found, (yield from self._expect(",", "]"))
+        value = yield from self._decode_value()
+        return value, (yield from self._expect(",", "]"))
 
-    def _skipped(self, at: int) -> int:
+    def _skip_white_space(self, position: int) -> int:
         """Where the next character stands that is no white space."""
-        found = WHITE_SPACE.match(self._text, at)
-        return at if found is None else found.end()
+        match = WHITE_SPACE.match(self._text, position)
+        return position if match is None else match.end()
 
-    def _whole(self) -> Steps[Any]:
+    def _decode_value(self) -> Steps[Any]:
         """The value that begins here, decoded at once. A number may be cut: `1` or `1.` at the end of the
         text may go on as `1.5`."""
         while True:
             try:
-                found, end = self._scanner.raw_decode(self._text, self._at)
-            except JSONDecodeError as trouble:
-                if self._ended:
-                    raise self._fault(trouble.msg, trouble.pos) from None
-            except (ValueError, RecursionError) as trouble:  # no such number, nested too deep
-                raise self._fault(str(trouble), self._at) from None
+                value, end = self._scanner.raw_decode(self._text, self._position)
+            except JSONDecodeError as error:
+                if self._at_end:
+                    raise self._error(error.msg, error.pos) from None
+            except (ValueError, RecursionError) as error:  # no such number, nested too deep
+                raise self._error(str(error), self._position) from None
             else:
-                if self._ended or self._text[end : end + 1] not in NUMBER_GOES_ON:
-                    self._at = end
-                    return found
-            if len(self._text) - self._at > VALUE_MOST:
-                raise self._fault(f"No value that ends within {VALUE_MOST} characters", self._at)
-            yield from self._read_on()
+                if self._at_end or self._text[end : end + 1] not in NUMBER_CONTINUATIONS:
+                    self._position = end
+                    return value
+            if len(self._text) - self._position > MAX_VALUE_CHARACTERS:
+                raise self._error(
+                    f"No value that ends within {MAX_VALUE_CHARACTERS} characters", self._position
+                )
+            yield from self._read_more()
 
     def _peek(self) -> Steps[str]:
         """The next character that is no white space; empty at the end."""
         while True:
-            self._at = self._skipped(self._at)
-            if self._at < len(self._text):
-                return self._text[self._at]
-            if self._ended:
+            self._position = self._skip_white_space(self._position)
+            if self._position < len(self._text):
+                return self._text[self._position]
+            if self._at_end:
                 return ""
-            yield from self._read_on()
-
-    def _expect(self, *marks: str) -> Steps[str]:
-        mark = yield from self._peek()
-        if mark not in marks:
-            raise self._fault(f"Expecting {' or '.join(map(repr, marks))}", self._at)
-        self._at += 1
-        return mark
-
-    def _read_on(self) -> Steps[None]:
-        piece = next(self._pieces, b"")
-        self._ended = not piece
+            yield from self._read_more()
+
+    def _expect(self, *delimiters: str) -> Steps[str]:
+        delimiter = yield from self._peek()
+        if delimiter not in delimiters:
+            raise self._error(f"Expecting {' or '.join(map(repr, delimiters))}", self._position)
+        self._position += 1
+        return delimiter
+
+    def _read_more(self) -> Steps[None]:
+        chunk = next(self._chunks, b"")
+        self._at_end = not chunk
         try:
-            text = self._decode(piece, final=self._ended)
-        except UnicodeDecodeError as trouble:
-            raise self._fault(f"No UTF-8, {trouble.reason}", len(self._text)) from None
-        self._lines += self._text.count("\n", 0, self._at)
-        self._text = self._text[self._at :] + text
-        self._at = 0
-        yield 1 + PIECE_WORK * len(piece) // PIECE
+            text = self._decode(chunk, final=self._at_end)
+        except UnicodeDecodeError as error:
+            raise self._error(f"No UTF-8, {error.reason}", len(self._text)) from None
+        self._line_count += self._text.count("\n", 0, self._position)
+        self._text = self._text[self._position :] + text
+        self._position = 0
+        yield 1 + CHUNK_WORK * len(chunk) // CHUNK_BYTES
 
-    def _fault(self, what: str, at: int) -> BadDocument:
-        return BadDocument(f"{what}: line {self._lines + self._text.count(chr(10), 0, at)}")
+    def _error(self, message: str, position: int) -> BadDocument:
+        return BadDocument(f"{message}: line {self._line_count + self._text.count(chr(10), 0, position)}")
 
 
-def _no_number(name: str) -> None:
+def _reject_constant(name: str) -> None:
     raise ValueError(f"{name} is no number")
--- a/limeridge/configuration/routes.py
+++ b/limeridge/configuration/routes.py
@@ -9,13 +9,13 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-PREFIX_MOST = 1_024  # characters
-ELEMENTS_MOST = 32
-CLASSES_MOST = 1_000
+MAX_PREFIX_CHARACTERS = 1_024
+MAX_PREFIX_ELEMENTS = 32
+MAX_CLASSES = 1_000
 ROOT = "/"  # fits every path
-ROUTES_MOST = 1_000_000
-SHARDS = 64
-SHARD_MASK = SHARDS - 1
+MAX_ROUTES = 1_000_000
+SHARD_COUNT = 64
+SHARD_MASK = SHARD_COUNT - 1
 
 
 class RouteFault(Exception):
@@ -52,7 +52,7 @@
 
     @staticmethod
     def empty() -> RouteTable:
-        return RouteTable(({},) * SHARDS, 0, ())
+        return RouteTable(({},) * SHARD_COUNT, 0, ())
 
     def __len__(self) -> int:
         return self._count
@@ -77,7 +77,7 @@
         """The class of just this prefix, None where it is not there."""
         return self._shards[hash(prefix) & SHARD_MASK].get(prefix)
 
-    def covering(self, prefix: str) -> Route | None:
+    def covering_route(self, prefix: str) -> Route | None:
         """The route that would win for the prefix if that were not there."""
         while prefix != ROOT:
             prefix = prefix[: prefix.rfind("/")] or ROOT
@@ -104,14 +104,14 @@
         self._shards = list(table._shards)
         self._count = table._count
         self._depths = list(table._depths)
-        self._own: set[int] = set()  # shards that are not shared with an earlier table
+        self._copied_shards: set[int] = set()  # shards that are not shared with an earlier table
 
     def put(self, prefix: str, class_number: int, entry: int = 0) -> None:
         """Add a route or lead it elsewhere. Raises RouteFault, which names the entry."""
         check_route(prefix, class_number, entry)
-        shard = self._own_shard(prefix)
+        shard = self._writable_shard(prefix)
         if prefix not in shard:
-            self._count_in(prefix, entry)
+            self._count_prefix(prefix, entry)
         shard[prefix] = class_number
 
     def get(self, prefix: str) -> int | None:
@@ -122,9 +122,9 @@
         """False where the route is not there."""
         if self.get(prefix) is None:
             return False
-        del self._own_shard(prefix)[prefix]
+        del self._writable_shard(prefix)[prefix]
         self._count -= 1
-        self._depths[depth_of(prefix)] -= 1
+        self._depths[prefix_depth(prefix)] -= 1
         return True
 
     def build(self) -> RouteTable:
@@ -133,17 +133,17 @@
             self._depths.pop()
         return RouteTable(tuple(self._shards), self._count, tuple(self._depths))
 
-    def _own_shard(self, prefix: str) -> dict[str, int]:
-        which = hash(prefix) & SHARD_MASK
-        if which not in self._own:
-            self._own.add(which)
-            self._shards[which] = self._shards[which].copy()
-        return self._shards[which]
-
-    def _count_in(self, prefix: str, entry: int) -> None:
-        if self._count == ROUTES_MOST:
-            raise RouteFault(entry, f"expected at most {ROUTES_MOST} routes")
-        depth = depth_of(prefix)
+    def _writable_shard(self, prefix: str) -> dict[str, int]:
+        shard_index = hash(prefix) & SHARD_MASK
+        if shard_index not in self._copied_shards:
+            self._copied_shards.add(shard_index)
+            self._shards[shard_index] = self._shards[shard_index].copy()
+        return self._shards[shard_index]
+
+    def _count_prefix(self, prefix: str, entry: int) -> None:
+        if self._count == MAX_ROUTES:
+            raise RouteFault(entry, f"expected at most {MAX_ROUTES} routes")
+        depth = prefix_depth(prefix)
         self._depths.extend([0] * (depth + 1 - len(self._depths)))
         self._depths[depth] += 1
         self._count += 1
@@ -154,22 +154,22 @@
 
     def __init__(self) -> None:
         self._editor = RouteTableEditor()
-        self._adds = 0
+        self._added_count = 0
 
     def add(self, prefix: str, class_number: int) -> None:
         """One entry. Raises RouteFault, which names the entry."""
-        check_route(prefix, class_number, self._adds)
+        check_route(prefix, class_number, self._added_count)
         if self._editor.get(prefix) is not None:
-            raise ShadowedRoute(self._adds, f"the prefix {prefix!r} stands twice")
-        self._editor.put(prefix, class_number, self._adds)
-        self._adds += 1
+            raise ShadowedRoute(self._added_count, f"the prefix {prefix!r} stands twice")
+        self._editor.put(prefix, class_number, self._added_count)
+        self._added_count += 1
 
     def build(self) -> RouteTable:
         """The table; the builder is of no use after it."""
         return self._editor.build()
 
 
-def depth_of(prefix: str) -> int:
+def prefix_depth(prefix: str) -> int:
     """Elements of a prefix; 0 of the root."""
     return 0 if prefix == ROOT else prefix.count("/")
 
@@ -178,20 +178,20 @@
     """Raises RouteFault where prefix or class is out of bounds."""
     if (fault := prefix_fault(prefix)) is not None:
         raise RouteFault(entry, f"prefix: {fault}")
-    if type(class_number) is not int or not 0 <= class_number < CLASSES_MOST:
-        raise RouteFault(entry, f"class: expected a whole number from 0 to {CLASSES_MOST - 1}")
+    if type(class_number) is not int or not 0 <= class_number < MAX_CLASSES:
+        raise RouteFault(entry, f"class: expected a whole number from 0 to {MAX_CLASSES - 1}")
 
 
 def prefix_fault(prefix: str) -> str | None:
     """What is wrong with a prefix, None where nothing is."""
-    if not isinstance(prefix, str) or not 1 <= len(prefix) <= PREFIX_MOST:
-        return f"expected a text of 1 to {PREFIX_MOST} characters"
+    if not isinstance(prefix, str) or not 1 <= len(prefix) <= MAX_PREFIX_CHARACTERS:
+        return f"expected a text of 1 to {MAX_PREFIX_CHARACTERS} characters"
     if prefix == ROOT:
         return None
     if not prefix.startswith("/") or prefix.endswith("/") or "//" in prefix:
         return f"expected / and elements with / between them, got {prefix!r}"
     if "?" in prefix or "#" in prefix:
         return f"expected a path without query and fragment, got {prefix!r}"
-    if depth_of(prefix) > ELEMENTS_MOST:
-        return f"expected at most {ELEMENTS_MOST} elements"
+    if prefix_depth(prefix) > MAX_PREFIX_ELEMENTS:
+        return f"expected at most {MAX_PREFIX_ELEMENTS} elements"
     return None
--- a/limeridge/configuration/tables.py
+++ b/limeridge/configuration/tables.py
@@ -18,9 +18,9 @@
     RemoveRoute,
     RemoveTenant,
     SetClassLimit,
-    number_bytes,
-    packed,
-    text_bytes,
+    encode_fields,
+    encode_number,
+    encode_text,
 )
 from limeridge.configuration.routes import RouteFault, RouteTable, RouteTableEditor
 from limeridge.configuration.tenants import TenantFault, TenantTable, TenantTableEditor
@@ -149,17 +149,17 @@
 
 
 def tenant_digest(name: str, quota: float) -> int:
-    return _hash_as_int(packed(b"tenant", text_bytes(name), number_bytes(quota)))
+    return _hash_as_int(encode_fields(b"tenant", encode_text(name), encode_number(quota)))
 
 
 def route_digest(prefix: str, class_name: str) -> int:
-    return _hash_as_int(packed(b"route", text_bytes(prefix), text_bytes(class_name)))
+    return _hash_as_int(encode_fields(b"route", encode_text(prefix), encode_text(class_name)))
 
 
 def limits_digest(limits: ClassLimits) -> int:
     """Hashes all classes as one entry, because their order is significant."""
     return _hash_as_int(
-        packed(b"classes", *map(text_bytes, limits.names), *map(number_bytes, limits.shares)),
+        encode_fields(b"classes", *map(encode_text, limits.names), *map(encode_number, limits.shares)),
     )
 
 
@@ -177,11 +177,11 @@
 
 def canonical_bytes(tables: Tables) -> Iterator[bytes]:
     """Yields the content entry by entry, as bytes that are equal if and only if the tables are."""
-    yield packed(*map(text_bytes, tables.limits.names), *map(number_bytes, tables.limits.shares))
+    yield encode_fields(*map(encode_text, tables.limits.names), *map(encode_number, tables.limits.shares))
     for name, quota in sorted_tenants(tables):
-        yield packed(text_bytes(name), number_bytes(quota))
+        yield encode_fields(encode_text(name), encode_number(quota))
     for prefix, class_name in sorted_routes(tables):
-        yield packed(text_bytes(prefix), text_bytes(class_name))
+        yield encode_fields(encode_text(prefix), encode_text(class_name))
 
 
 def _hash_as_int(data: bytes) -> int:
--- a/limeridge/net/service.py
+++ b/limeridge/net/service.py
@@ -25,7 +25,7 @@
 
 from limeridge import __version__
 from limeridge.config import Setup, Unusable
-from limeridge.configuration.application import FIXED_FOR_MEMBERS, revised
+from limeridge.configuration.application import FIXED_FOR_MEMBERS, plan_revision
 from limeridge.configuration.reading import Steps, run_turn
 from limeridge.facade import (
     RESULTS_KEPT,
@@ -404,7 +404,7 @@
         """Between two requests: whoever arrived keeps the revision that it arrived under. Open txns, runs and
         what the brain has learned hang on what does not change live: that stays until a restart."""
         fixed = frozenset[str]() if self.peers is None else FIXED_FOR_MEMBERS
-        revision = revised(self.setup, new, fixed)
+        revision = plan_revision(self.setup, new, fixed)
         setup = revision.setup
         self.facade.revise(setup.plain, setup.tenants.quota)
         self.setup, self.callers.decoder.tenants, self.skips = setup, setup.tenants, skips_of(setup)
--- a/tests/test_configuration_live.py
+++ b/tests/test_configuration_live.py
@@ -13,15 +13,15 @@
 
 from limeridge.brain import TARGET
 from limeridge.config import SETTINGS, Setup, Unusable, reading, setup_of
-from limeridge.configuration.application import FIXED_FOR_MEMBERS, LIVE_SETTINGS, revised
+from limeridge.configuration.application import FIXED_FOR_MEMBERS, LIVE_SETTINGS, plan_revision
 from limeridge.configuration.names import NameTableEditor
 from limeridge.configuration.reading import (
-    PIECE,
-    TURN_WORK,
+    CHUNK_BYTES,
+    WORK_PER_TURN,
     BadDocument,
     Document,
     Steps,
-    run_through,
+    run_to_completion,
     run_turn,
 )
 from limeridge.configuration.tenants import RETENTION_US, TenantTableBuilder
@@ -138,7 +138,7 @@
 
 
 def pieces(data: bytes) -> list[bytes]:
-    return [data[at : at + PIECE] for at in range(0, len(data), PIECE)]
+    return [data[at : at + CHUNK_BYTES] for at in range(0, len(data), CHUNK_BYTES)]
 
 
 def steps_of(data: bytes, before: Setup | None = None, now: int = 0) -> Steps[Setup]:
@@ -146,7 +146,7 @@
 
 
 # Looking at an entry and retiring it takes a quarter of what adding one takes.
-RETIRED_MOST = 4 * TURN_WORK
+RETIRED_MOST = 4 * WORK_PER_TURN
 
 
 class Counting:
@@ -183,10 +183,10 @@
     counting = Counting(monkeypatch)
     full = orjson.dumps(many(240_000))
     setup, turns = counting.turns(steps_of(full))
-    assert len(setup.tenants) == sum(turns) == 240_000 and max(turns) <= TURN_WORK
+    assert len(setup.tenants) == sum(turns) == 240_000 and max(turns) <= WORK_PER_TURN
     assert setup.tenants.quota(setup.tenants.find("tenant 239999") or 0) == 30.0
     again, turns = counting.turns(steps_of(full, setup, 1))
-    assert max(turns) <= TURN_WORK and all(
+    assert max(turns) <= WORK_PER_TURN and all(
         again.tenants.find(f"tenant {number}") == setup.tenants.find(f"tenant {number}")
         for number in range(0, 240_000, 1_000)
     )
@@ -194,7 +194,7 @@
     assert len(none.tenants) == 0 and sum(turns) == 240_000 and max(turns) <= RETIRED_MOST
     far = RETENTION_US + 10_000_000_000
     empty, turns = counting.turns(steps_of(orjson.dumps(many(1)), none, far))
-    assert empty.tenants.retired_count() == 0 and sum(turns) == 240_000 and max(turns) <= TURN_WORK
+    assert empty.tenants.retired_count() == 0 and sum(turns) == 240_000 and max(turns) <= WORK_PER_TURN
 
 
 def test_no_more_of_the_file_is_held_than_a_few_pieces() -> None:
@@ -203,8 +203,8 @@
     try:
         document = Document(pieces(data), {"settings.accounts": lambda: lambda item: None})
         before, _ = tracemalloc.get_traced_memory()
-        run_through(document.read())
-        assert tracemalloc.get_traced_memory()[1] - before < 8 * PIECE < len(data) // 3
+        run_to_completion(document.read())
+        assert tracemalloc.get_traced_memory()[1] - before < 8 * CHUNK_BYTES < len(data) // 3
     finally:
         tracemalloc.stop()
 
@@ -216,14 +216,14 @@
 ) -> None:
     data = json.dumps({"a": value, "settings": {"list": [value, value], "b": value}}, indent=indent).encode()
     cut = [data[at : at + size] for at in range(0, len(data), size)]
-    assert run_through(Document(cut, {}).read()) == json.loads(data)
+    assert run_to_completion(Document(cut, {}).read()) == json.loads(data)
 
 
 @often
 @given(data=st.binary(max_size=80) | st.text(alphabet='{}[]",:\\ 0159.eE-ntu', max_size=40).map(str.encode))
 def test_no_bytes_do_more_than_be_refused(data: bytes) -> None:
     try:
-        found = run_through(Document([data], {}).read())
+        found = run_to_completion(Document([data], {}).read())
     except BadDocument as told:
         assert "line " in str(told)
     else:
@@ -246,7 +246,7 @@
 )
 def test_a_fault_in_an_account_is_told_by_its_entry(accounts: Any, told: str) -> None:
     value = SAMPLE | {"settings": SAMPLE["settings"] | {"accounts": accounts}}
-    for steps in (lambda: run_through(steps_of(json.dumps(value).encode())), lambda: setup_of(value)):
+    for steps in (lambda: run_to_completion(steps_of(json.dumps(value).encode())), lambda: setup_of(value)):
         with pytest.raises(Unusable) as fault:
             steps()
         assert str(fault.value).startswith(f"settings.{told}")
@@ -259,7 +259,7 @@
     assert run_turn(steps) is None
     path.write_bytes(orjson.dumps(many(5_000, name="n2")))
     with pytest.raises(Unusable, match="it changed"):
-        run_through(steps)
+        run_to_completion(steps)
 
 
 # ---- the instance
@@ -435,8 +435,8 @@
     old = setup_of(SAMPLE)
     longer = [each | {"deadline": 9_000_000} for each in SAMPLE["settings"]["classes"]]
     new = setup_of(SAMPLE | {"settings": SAMPLE["settings"] | {"classes": longer}})
-    assert revised(old, new).needs_restart == () and revised(old, new).setup.plain == new.plain
-    members = revised(old, new, FIXED_FOR_MEMBERS)
+    assert plan_revision(old, new).needs_restart == () and plan_revision(old, new).setup.plain == new.plain
+    members = plan_revision(old, new, FIXED_FOR_MEMBERS)
     assert members.needs_restart == ("settings.classes.0.deadline", "settings.classes.1.deadline")
     assert members.setup.plain == old.plain
 
--- a/tests/test_configuration_revisions.py
+++ b/tests/test_configuration_revisions.py
@@ -36,7 +36,7 @@
     RemoveTenant,
     SetClassLimit,
 )
-from limeridge.configuration.checks import Refused, check_draft, routes_without_effect
+from limeridge.configuration.checks import Refused, check_draft, redundant_routes
 from limeridge.configuration.encoding import MAGIC, VERSION, BadMessage, decode, encode, encode_entries
 from limeridge.configuration.histories import play
 from limeridge.configuration.snapshot import SnapshotFault, loaded, snapshot_of
@@ -174,7 +174,7 @@
 def test_a_route_without_effect_is_told() -> None:
     put = draft(PutRoute("/a", "read"), PutRoute("/a/b", "read"), PutRoute("/a/c", "write"))
     tables = new_chain(put).tables
-    told = [str(fault) for fault in routes_without_effect(tables, put)]
+    told = [str(fault) for fault in redundant_routes(tables, put)]
     assert told == ["changes.1.prefix: has no effect, '/a' leads to 'read' too"]
 
 
@@ -645,7 +645,7 @@
         "tables", "None if previous is None else route_digest(prefix, self._limits.names[previous]),", "None,"
     ),
     "a removed route is counted out twice": Defect(
-        "routes", "self._depths[depth_of(prefix)] -= 1", "self._depths[depth_of(prefix)] -= 2"
+        "routes", "self._depths[prefix_depth(prefix)] -= 1", "self._depths[prefix_depth(prefix)] -= 2"
     ),
 }
 
--- a/tests/test_configuration_tables.py
+++ b/tests/test_configuration_tables.py
@@ -231,7 +231,7 @@
 
 def test_covering_is_the_next_shorter_route() -> None:
     table = routed({"/": 0, "/a": 1, "/a/b/c": 2})
-    covering = [table.covering(prefix) for prefix in ("/a/b/c", "/a", "/", "/a/b")]
+    covering = [table.covering_route(prefix) for prefix in ("/a/b/c", "/a", "/", "/a/b")]
     assert covering == [Route("/a", 1), Route("/", 0), None, Route("/a", 1)]
 
 
