--- a/limeridge/configuration/application.py
+++ b/limeridge/configuration/application.py
@@ -1,8 +1,8 @@
-"""What a new configuration changes in a running instance, and what it must leave for a restart.
+"""Determines what a new configuration changes in a running instance, and what requires a restart.
 
-It owns the one table of the settings that change live, and the matching of classes by name. It must never
-apply anything: it gives the configuration that is to be in force, and the instance swaps it in between two
-requests. A setting that the new configuration does not have is absent then, and so goes back to its default.
+This module defines which settings can change live, and matches classes by name. It applies nothing itself: it
+computes the configuration that is to take effect, and the instance swaps it in between two requests. A
+setting that is missing from the new configuration is absent from the result, so it returns to its default.
 """
 
 from __future__ import annotations
@@ -14,11 +14,12 @@
 from limeridge.config import LIST, OBJECT, SETTINGS, Setup
 from limeridge.words import Value, name_of
 
-# From a new file: the addresses, the time to stop, and cores, which stand in the log alone.
+# Fields of Setup that are taken from the new file. `cores` is only logged.
 LIVE_FIELDS = ("kernel", "ledger", "node_list", "stop", "cores", "tenants")
 ADDRESSES = ("kernel", "ledger", "node_list")
 
-# Paths in `settings`; all others of config.SETTINGS need a restart. Accounts are live, each with its quota.
+# Paths in `settings` that can change live; all others of config.SETTINGS require a restart. Accounts with
+# their quotas are live too, and are handled as `tenants`.
 LIVE_SETTINGS = frozenset(
     {
         "classes.N.aim",
@@ -52,7 +53,8 @@
         "valueBy",
     }
 )
-# Where members deal out the calls below, what they were told of the longest deadline must stay true.
+# Not live if the instances allot calls to the ledger among themselves: the longest deadline that they were
+# given must stay valid.
 FIXED_FOR_MEMBERS = frozenset({"classes.N.deadline"})
 CLASS_PREFIX = "classes.N."
 PER_CLASS_DEFAULTS: dict[str, Value] = {"familyInfo.classCalls": True, "familyInfo.classSkipWorth": 0.0}
@@ -60,15 +62,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Revision:
-    """A configuration that is to be in force, against the one before."""
+    """A configuration that is to take effect, and how it differs from the previous one and from the file."""
 
     setup: Setup
-    moved: tuple[str, ...]  # the addresses that are new
-    needs_restart: tuple[str, ...]  # what differs in the file and stays as it was, by name
+    moved: tuple[str, ...]  # names of the addresses that changed
+    needs_restart: tuple[str, ...]  # names of the settings that differ in the file and keep their old values
 
 
 def plan_revision(old: Setup, new: Setup, fixed: frozenset[str] = frozenset()) -> Revision:
-    """`old` with all of `new` that changes live, but for the settings that are `fixed` here."""
+    """Returns `old` updated with everything in `new` that can change live, except the `fixed` settings."""
     live_paths = LIVE_SETTINGS - fixed
     plain, unchanged = _merge_settings(old, new, live_paths)
     setup = replace(old, plain=plain, **{name: getattr(new, name) for name in LIVE_FIELDS})
@@ -83,7 +85,7 @@
 
 
 def _merge_settings(old: Setup, new: Setup, live_paths: frozenset[str]) -> tuple[dict[str, Value], list[str]]:
-    """The settings that are to be in force, and the paths of those that stay as they were."""
+    """Returns the settings that are to take effect, and the paths of those that keep their old values."""
     plain, unchanged = dict(new.plain), []
     for path in _shared_paths():
         name = name_of(path)
@@ -103,8 +105,10 @@
 
 
 def _match_classes(old: Setup, new: Setup, plain: dict[str, Value]) -> None:
-    """The classes stay those of the old configuration, under its numbers; each gets what the new one says of
-    the class of its name, and stays as it was where there is none."""
+    """Keeps the classes and class numbers of the old configuration in `plain`.
+
+    Each class takes the settings of the new class of the same name, or keeps its own if there is none.
+    """
     for name in [name for name in plain if name.startswith("products.")]:
         del plain[name]
     plain["products.count"] = len(old.products)
@@ -124,7 +128,7 @@
 
 
 def _matching_classes(old: Setup, new: Setup) -> list[int | None]:
-    """For each class of the old configuration its number in the new one."""
+    """Returns, for each class of the old configuration, its number in the new one or None."""
     if old.products == new.products:
         return list(range(len(old.products)))
     new_numbers = {name: number for number, name in enumerate(new.products)}
@@ -132,7 +136,7 @@
 
 
 def _shared_paths() -> Iterator[str]:
-    """The settings that have one place, lists of plain values among them."""
+    """Yields the paths of the settings that are not per class or item, including lists of plain values."""
     for path, (kind, _, _, _) in SETTINGS.items():
         has_items = f"{path}.N" in SETTINGS
         if ".N" not in path and kind != OBJECT and (kind != LIST or has_items):
--- a/limeridge/configuration/changes.py
+++ b/limeridge/configuration/changes.py
@@ -1,7 +1,7 @@
-"""Typed changes of the configuration, what an author hands in, and the bytes by which both are hashed.
+"""Typed configuration changes, the drafts that authors submit, and their canonical encoding for hashing.
 
-It owns the kinds of changes and their canonical bytes, which are the same in every process and release. It
-must never judge whether a change may be made: `checks.py` does.
+The canonical encoding must be the same in every process and release. Whether a change is allowed is not
+decided here but in `checks.py`.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 
 @dataclass(slots=True, frozen=True)
 class PutTenant:
-    """Add a tenant, or set the quota of one that is there."""
+    """Adds a tenant, or sets the quota of an existing one."""
 
     name: str
-    quota: float  # requests a second of the whole fleet; 0 for none
+    quota: float  # requests per second of the whole fleet; 0 for none
 
 
 @dataclass(slots=True, frozen=True)
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PutRoute:
-    """Add a route, or lead one that is there to another class."""
+    """Adds a route, or changes the class of an existing one."""
 
     prefix: str
     class_name: str
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetClassLimit:
-    """Set the share of an instance's capacity that is kept for a class, from 0 to 1."""
+    """Sets the share of an instance's capacity that is reserved for a class, from 0 to 1."""
 
     class_name: str
     share: float
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Draft:
-    """What an author asks for; the change id tells a repeat of the same asking."""
+    """The changes that an author submits as one; the change id identifies a repeated submission."""
 
     change_id: str
     author: str
@@ -65,7 +65,7 @@
 
 
 def encode_fields(*fields: bytes) -> bytes:
-    """Fields one behind the other, each with its length, so that no two lists give the same bytes."""
+    """Concatenates fields, each prefixed by its length, so that no two lists give the same bytes."""
     return b"".join(b"%d:%b" % (len(field), field) for field in fields)
 
 
@@ -74,7 +74,7 @@
 
 
 def encode_number(number: float) -> bytes:
-    return struct.pack(">d", number + 0.0)  # so that minus zero is zero
+    return struct.pack(">d", number + 0.0)  # adding 0.0 turns -0.0 into 0.0
 
 
 def encode_change(change: Change) -> bytes:
@@ -101,5 +101,5 @@
 
 
 def draft_fingerprint(draft: Draft) -> bytes:
-    """Tells whether a repeated asking asks for the same."""
+    """Returns a hash that tells whether a repeated submission is identical."""
     return blake2b(encode_draft(draft), digest_size=16).digest()
--- a/limeridge/configuration/checks.py
+++ b/limeridge/configuration/checks.py
@@ -1,8 +1,8 @@
-"""Checks of a draft before it is accepted: each fault with the place where it stands.
+"""Validation of a draft before it is accepted; each fault is reported with the path of the entry.
 
-It owns what may be asked for: types and bounds, references, shadowed routes, sums of shares. It must never
-change anything, and never refuse by a rule that the tables' own bounds do not need or that this page does not
-state. A draft is judged as a whole: what its changes come to together is checked besides each alone.
+This module defines which drafts are valid: types and bounds, references, repeated entries, sums of shares. It
+modifies nothing, and it rejects a draft only for the bounds of the tables and the rules in this module. The
+changes of a draft are checked one by one and for their combined effect.
 """
 
 from __future__ import annotations
@@ -31,16 +31,16 @@
 from limeridge.configuration.tables import ClassLimits, Tables
 from limeridge.configuration.tenants import MAX_NAME_CHARACTERS, MAX_QUOTA
 
-MAX_TENANTS = 500_000  # half of an instance's numbers: the rest is for tenants that went a short while ago
+MAX_TENANTS = 500_000  # half of an instance's numbers; the rest is for recently removed tenants
 MAX_ROUTES = 500_000
-MAX_FAULTS = 100  # told of one draft
-MAX_SHARE_SUM = 1.0
-SHARE_SUM_TOLERANCE = 1e-9  # for sums of parts such as a third
+MAX_FAULTS = 100  # reported for one draft
+MAX_SHARE_SUM = 1.0  # also the maximum of one share
+SHARE_SUM_TOLERANCE = 1e-9  # rounding error of sums of fractions such as 1/3
 
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """`path` is the place of the entry, as in `changes.3.quota`."""
+    """A fault in a draft; `path` locates the entry, as in `changes.3.quota`."""
 
     path: str
     expected: str
@@ -50,7 +50,7 @@
 
 
 class Refused(Exception):
-    """The draft can't be accepted; `faults` has at least one, at most MAX_FAULTS."""
+    """The draft can't be accepted; `faults` has 1 to MAX_FAULTS items."""
 
     def __init__(self, faults: tuple[Fault, ...]) -> None:
         super().__init__("; ".join(map(str, faults)))
@@ -58,25 +58,25 @@
 
 
 def check_format(draft: Draft) -> None:
-    """Raises Refused for what no tables could take: types, bounds, one entry changed twice."""
+    """Checks what is independent of the tables: types, bounds, duplicate entries. Raises Refused."""
     _raise_if_any(_format_faults(draft))
 
 
 def check_applicable(tables: Tables, draft: Draft) -> None:
-    """Raises Refused where a draft of good form can't be made to these tables: references, sums, sizes."""
+    """Checks a well-formed draft against these tables: references, sums, sizes. Raises Refused."""
     _raise_if_any(_applicability_faults(tables, draft))
 
 
 def check_draft(tables: Tables, draft: Draft) -> None:
-    """Raises Refused where the draft can't be made to the tables."""
+    """Checks everything. Raises Refused if the draft can't be applied to the tables."""
     check_format(draft)
     check_applicable(tables, draft)
 
 
 def redundant_routes(tables: Tables, draft: Draft) -> Iterator[Fault]:
-    """Not refused, but told: a route to the class that the next shorter one leads to anyway.
+    """Yields warnings for added routes whose next shorter route has the same class; they are not refused.
 
-    `tables` are those with the draft's changes in them.
+    `tables` must already contain the changes of the draft.
     """
     for index, change in enumerate(draft.changes):
         if isinstance(change, PutRoute):
@@ -148,7 +148,7 @@
 
 
 def _change_faults(change: Change, path: str) -> Iterator[Fault]:
-    """Types and bounds of one change."""
+    """Checks the types and bounds of one change."""
     match change:
         case PutTenant(name, quota):
             yield from _text_fault(f"{path}.name", name, MAX_NAME_CHARACTERS)
@@ -173,7 +173,7 @@
 
 
 def _reference_faults(tables: Tables, change: Change, path: str) -> Iterator[Fault]:
-    """Of one change to what is not there."""
+    """Checks that the tenant, route or class that one change refers to exists."""
     match change:
         case RemoveTenant(name):
             if tables.tenants.find(name) is None:
@@ -191,7 +191,7 @@
 
 
 def _duplicate_faults(draft: Draft) -> Iterator[Fault]:
-    """Two changes of one entry: the later would hide the earlier."""
+    """Finds entries that are changed twice, where the later change would hide the earlier one."""
     first_index: dict[tuple[str, str], int] = {}
     for index, change in enumerate(draft.changes):
         entry = _changed_entry(change)
--- a/limeridge/configuration/reading.py
+++ b/limeridge/configuration/reading.py
@@ -1,12 +1,12 @@
-"""Reads one JSON document a step at a time, so that no step takes long however many entries it holds.
+"""Incremental reader of one JSON document, in short steps regardless of the size of the document.
 
-It owns the way through the outermost objects of a document and the lists in them; every member and item is
-decoded by the standard library's scanner. It must never check what the values mean, and hold no more of the
-text than the value that is being read.
+This module parses the outermost objects of a document and the lists in them; each property and list item is
+decoded by the scanner of the standard library. It does not check what the values mean, and it buffers no more
+of the text than the value that is being read.
 
-A step is what a generator does between two yields; what it yields is the work done since the last one; 1 is
-an entry of a list decoded, checked and put into a table: about 10 microseconds. Whoever drives the generator
-decides how much goes into one turn of the event loop.
+A step is the work of a generator between two yields. The generator yields the amount of work done since the
+last yield, in units of one list entry decoded, checked and added to a table: about 10 microseconds. The code
+that drives the generator decides how much work is done in one turn of the event loop.
 """
 
 from __future__ import annotations
@@ -23,27 +23,27 @@
 Result = TypeVar("Result")
 Steps = Generator[int, None, Result]
 
-WORK_PER_TURN = 100  # that goes into one turn of the event loop
-CHUNK_BYTES = 65_536  # bytes read from a file at once
-CHUNK_WORK = 10  # to read and decode one
+WORK_PER_TURN = 100  # units of work done in one turn of the event loop
+CHUNK_BYTES = 65_536  # read from a file at once
+CHUNK_WORK = 10  # units of work to read and decode one chunk
 ITEMS_PER_STEP = 5
-MAX_VALUE_CHARACTERS = 262_144  # characters of one value, which is decoded in one step
-MAX_STREAMED_DEPTH = 1  # objects nested so deep are read property by property; what lies deeper is one value
+MAX_VALUE_CHARACTERS = 262_144  # of one value, because it is decoded in one step
+MAX_STREAMED_DEPTH = 1  # objects up to this depth are read property by property, deeper ones at once
 
 NUMBER_CONTINUATIONS = ("", *"0123456789.eE+-")
 WHITE_SPACE = re.compile(r"[ \t\n\r]*")
 
 
 class BadDocument(Exception):
-    """Not a JSON document; the text says what was met, and on which line."""
+    """The text is not a JSON document; the message has the error and its line."""
 
 
 class ChangedDuringRead(Exception):
-    """The file was written to while it was read."""
+    """The file was modified while it was being read."""
 
 
 def read_chunks(path: str) -> Iterator[bytes]:
-    """A file's content piece by piece. Raises OSError, and ChangedDuringRead at the end of the file."""
+    """Yields a file in chunks. Raises OSError, and ChangedDuringRead at the end of the file."""
     with open(path, "rb", buffering=0) as file:
         before = _file_version(file.fileno())
         while chunk := file.read(CHUNK_BYTES):
@@ -53,13 +53,13 @@
 
 
 def _file_version(descriptor: int) -> tuple[int, int] | None:
-    """What changes when somebody writes to a file; None for what is no file, as a pipe."""
+    """Returns modification time and size, to detect writes; None for anything but a regular file."""
     status = os.fstat(descriptor)
     return (status.st_mtime_ns, status.st_size) if stat.S_ISREG(status.st_mode) else None
 
 
 def run_turn(steps: Steps[Result]) -> Result | None:
-    """Goes on by one turn's share of work; None where more is left."""
+    """Runs steps up to the work of one turn. Returns the result, or None if steps remain."""
     work = 0
     try:
         while work < WORK_PER_TURN:
@@ -71,7 +71,7 @@
 
 
 def run_to_completion(steps: Steps[Result]) -> Result:
-    """All steps in one go."""
+    """Runs all steps and returns the result."""
     while True:
         try:
             next(steps)
@@ -81,10 +81,10 @@
 
 
 class Document:
-    """One JSON document out of pieces of UTF-8.
+    """A JSON document that is read from chunks of UTF-8.
 
-    `takers` makes, by the path of a list, what takes the items of that list one at a time, anew each time
-    that the list begins; the list itself is empty in what is read then.
+    `item_consumers` maps the path of a list to a factory, which is called each time such a list begins. The
+    function it returns is called with each item, and the list itself is empty in the resulting value.
     """
 
     def __init__(
@@ -100,7 +100,7 @@
         self._line_count = 1  # line number at the start of `_text`
 
     def read(self) -> Steps[Any]:
-        """The document's value. Raises BadDocument, and what the pieces raise."""
+        """Reads the value of the document. Raises BadDocument, and whatever the chunks raise."""
         value = yield from self._read_value("", 0)
         if (yield from self._peek()):
             raise self._error("Extra data", self._position)
@@ -147,7 +147,7 @@
                 return items
 
     def _buffered_item(self) -> tuple[Any, str] | None:
-        """The next item and the mark behind it, where the text at hand has both and nothing is wrong."""
+        """Returns the next item and the delimiter after it if both are in the buffer and valid, else None."""
         try:
             value, end = self._scanner.raw_decode(self._text, self._skip_white_space(self._position))
         except (ValueError, RecursionError):
@@ -160,39 +160,39 @@
         return value, delimiter
 
     def _read_item(self) -> Steps[tuple[Any, str]]:
-        """The same, reading on where need be. Raises BadDocument."""
+        """Returns the next item and the delimiter after it, reading more if needed. Raises BadDocument."""
         yield from self._peek()
         value = yield from self._decode_value()
         return value, (yield from self._expect(",", "]"))
 
     def _skip_white_space(self, position: int) -> int:
-        """Where the next character stands that is no white space."""
+        """Returns the position of the next character that is not white space."""
         match = WHITE_SPACE.match(self._text, position)
         return position if match is None else match.end()
 
     def _decode_value(self) -> Steps[Any]:
-        """The value that begins here, decoded at once. A number may be cut: `1` or `1.` at the end of the
-        text may go on as `1.5`."""
+        """Decodes the value that begins here in one step.
+
+        A number at the end of the buffer may be incomplete: `1` or `1.` may continue as `1.5`.
+        """
         while True:
             try:
                 value, end = self._scanner.raw_decode(self._text, self._position)
             except JSONDecodeError as error:
                 if self._at_end:
                     raise self._error(error.msg, error.pos) from None
-            except (ValueError, RecursionError) as error:  # no such number, nested too deep
+            except (ValueError, RecursionError) as error:  # invalid constant, or nested too deeply
                 raise self._error(str(error), self._position) from None
             else:
                 if self._at_end or self._text[end : end + 1] not in NUMBER_CONTINUATIONS:
                     self._position = end
                     return value
             if len(self._text) - self._position > MAX_VALUE_CHARACTERS:
-                raise self._error(
-                    f"No value that ends within {MAX_VALUE_CHARACTERS} characters", self._position
-                )
+                raise self._error(f"Value longer than {MAX_VALUE_CHARACTERS} characters", self._position)
             yield from self._read_more()
 
     def _peek(self) -> Steps[str]:
-        """The next character that is no white space; empty at the end."""
+        """Returns the next character that is not white space, or an empty string at the end."""
         while True:
             self._position = self._skip_white_space(self._position)
             if self._position < len(self._text):
@@ -214,7 +214,7 @@
         try:
             text = self._decode(chunk, final=self._at_end)
         except UnicodeDecodeError as error:
-            raise self._error(f"No UTF-8, {error.reason}", len(self._text)) from None
+            raise self._error(f"Invalid UTF-8, {error.reason}", len(self._text)) from None
         self._line_count += self._text.count("\n", 0, self._position)
         self._text = self._text[self._position :] + text
         self._position = 0
@@ -225,4 +225,4 @@
 
 
 def _reject_constant(name: str) -> None:
-    raise ValueError(f"{name} is no number")
+    raise ValueError(f"{name} is not a JSON number")
--- a/limeridge/configuration/routes.py
+++ b/limeridge/configuration/routes.py
@@ -1,7 +1,7 @@
-"""The table of routes: path prefixes, each with the number of a class, found by the longest that fits.
+"""The table of routes: path prefixes that map to class numbers, with longest-prefix matching.
 
-It owns what a prefix may look like and which one wins. A prefix fits a path by whole elements: `/a/b` fits
-`/a/b` and `/a/b/c`, not `/a/bc`. It must never change a table once it is built.
+This module defines the syntax of a prefix and the matching. A prefix matches a path by whole elements: `/a/b`
+matches `/a/b` and `/a/b/c`, but not `/a/bc`. A table is never modified once it is built.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 MAX_PREFIX_CHARACTERS = 1_024
 MAX_PREFIX_ELEMENTS = 32
 MAX_CLASSES = 1_000
-ROOT = "/"  # fits every path
+ROOT = "/"  # matches every path
 MAX_ROUTES = 1_000_000
 SHARD_COUNT = 64
 SHARD_MASK = SHARD_COUNT - 1
 
 
 class RouteFault(Exception):
-    """One entry that can't be taken: `entry` counts from 0 in the order of adding."""
+    """An invalid entry; `entry` is its index from 0 in the order of adding."""
 
     def __init__(self, entry: int, fault: str) -> None:
         super().__init__(f"routes.{entry}: {fault}")
@@ -28,7 +28,7 @@
 
 
 class ShadowedRoute(RouteFault):
-    """The entry's prefix stands in an earlier entry too, so that one of the two could never win."""
+    """The entry has the same prefix as an earlier one, so one of the two could never match."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -38,9 +38,10 @@
 
 
 class RouteTable:
-    """The routes of one revision: dicts from prefix to class number, by some bits of the prefix' hash.
+    """The routes of one revision: dicts from prefix to class number, sharded by bits of the prefix's hash.
 
-    A path is cut shorter by an element until it is there, from the depth of the deepest prefix on.
+    A lookup truncates the path to the depth of the deepest prefix, then removes trailing elements until a
+    prefix is found.
     """
 
     __slots__ = ("_count", "_depths", "_shards")
@@ -48,7 +49,7 @@
     def __init__(self, shards: tuple[dict[str, int], ...], count: int, depths: tuple[int, ...]) -> None:
         self._shards = shards
         self._count = count
-        self._depths = depths  # by number of elements: how many prefixes have it; the last is not 0
+        self._depths = depths  # number of prefixes by their number of elements; the last item is not 0
 
     @staticmethod
     def empty() -> RouteTable:
@@ -58,11 +59,11 @@
         return self._count
 
     def find(self, path: str) -> int | None:
-        """The number of the class that the longest fitting prefix leads to, None where none fits."""
+        """Returns the class number of the longest matching prefix, or None if none matches."""
         deepest = len(self._depths) - 1
         if deepest < 0 or not path.startswith(ROOT):
             return None
-        elements = path.split("/", deepest + 1)  # one empty, as many as the deepest has, what is behind them
+        elements = path.split("/", deepest + 1)  # an empty one, up to `deepest` elements, the rest
         if len(elements) > deepest + 1:
             path = path[: -len(elements[-1]) - 1]
         shards = self._shards
@@ -74,11 +75,11 @@
         return self.get(ROOT)
 
     def get(self, prefix: str) -> int | None:
-        """The class of just this prefix, None where it is not there."""
+        """Returns the class number of exactly this prefix, or None."""
         return self._shards[hash(prefix) & SHARD_MASK].get(prefix)
 
     def covering_route(self, prefix: str) -> Route | None:
-        """The route that would win for the prefix if that were not there."""
+        """Returns the next shorter route that covers the prefix, or None."""
         while prefix != ROOT:
             prefix = prefix[: prefix.rfind("/")] or ROOT
             class_number = self.get(prefix)
@@ -87,16 +88,16 @@
         return None
 
     def routes(self) -> Iterator[Route]:
-        """All routes, in no order that another process would have."""
+        """Yields all routes; the order differs between processes."""
         for shard in self._shards:
             for prefix, class_number in shard.items():
                 yield Route(prefix, class_number)
 
 
 class RouteTableEditor:
-    """The next table after `previous`, by single changes; all that is not named stays.
+    """Builds a modified copy of `previous` by single changes; all other routes stay as they are.
 
-    After a fault the editor is of no use.
+    The editor must not be used after a fault.
     """
 
     def __init__(self, previous: RouteTable | None = None) -> None:
@@ -107,7 +108,7 @@
         self._copied_shards: set[int] = set()  # shards that are not shared with an earlier table
 
     def put(self, prefix: str, class_number: int, entry: int = 0) -> None:
-        """Add a route or lead it elsewhere. Raises RouteFault, which names the entry."""
+        """Adds a route or changes its class. Raises RouteFault with the entry."""
         check_route(prefix, class_number, entry)
         shard = self._writable_shard(prefix)
         if prefix not in shard:
@@ -115,11 +116,11 @@
         shard[prefix] = class_number
 
     def get(self, prefix: str) -> int | None:
-        """The class of just this prefix, None where it is not there."""
+        """Returns the class number of exactly this prefix, or None."""
         return self._shards[hash(prefix) & SHARD_MASK].get(prefix)
 
     def remove(self, prefix: str) -> bool:
-        """False where the route is not there."""
+        """Removes a route. Returns False if there is no such route."""
         if self.get(prefix) is None:
             return False
         del self._writable_shard(prefix)[prefix]
@@ -128,7 +129,7 @@
         return True
 
     def build(self) -> RouteTable:
-        """The table; the editor is of no use after it."""
+        """Returns the new table; the editor must not be used afterwards."""
         while self._depths and self._depths[-1] == 0:
             self._depths.pop()
         return RouteTable(tuple(self._shards), self._count, tuple(self._depths))
@@ -150,14 +151,14 @@
 
 
 class RouteTableBuilder:
-    """A table by its whole list. Adding does all of the work, a few microseconds an entry."""
+    """Builds a table from a complete list. Adding does all of the work, a few microseconds per entry."""
 
     def __init__(self) -> None:
         self._editor = RouteTableEditor()
         self._added_count = 0
 
     def add(self, prefix: str, class_number: int) -> None:
-        """One entry. Raises RouteFault, which names the entry."""
+        """Adds one entry. Raises RouteFault with the entry."""
         check_route(prefix, class_number, self._added_count)
         if self._editor.get(prefix) is not None:
             raise ShadowedRoute(self._added_count, f"the prefix {prefix!r} stands twice")
@@ -165,17 +166,17 @@
         self._added_count += 1
 
     def build(self) -> RouteTable:
-        """The table; the builder is of no use after it."""
+        """Returns the table; the builder must not be used afterwards."""
         return self._editor.build()
 
 
 def prefix_depth(prefix: str) -> int:
-    """Elements of a prefix; 0 of the root."""
+    """Returns the number of elements of a prefix; 0 for the root."""
     return 0 if prefix == ROOT else prefix.count("/")
 
 
 def check_route(prefix: str, class_number: int, entry: int) -> None:
-    """Raises RouteFault where prefix or class is out of bounds."""
+    """Raises RouteFault if the prefix or the class is out of bounds."""
     if (fault := prefix_fault(prefix)) is not None:
         raise RouteFault(entry, f"prefix: {fault}")
     if type(class_number) is not int or not 0 <= class_number < MAX_CLASSES:
@@ -183,7 +184,7 @@
 
 
 def prefix_fault(prefix: str) -> str | None:
-    """What is wrong with a prefix, None where nothing is."""
+    """Returns what is wrong with a prefix, or None if it is valid."""
     if not isinstance(prefix, str) or not 1 <= len(prefix) <= MAX_PREFIX_CHARACTERS:
         return f"expected a text of 1 to {MAX_PREFIX_CHARACTERS} characters"
     if prefix == ROOT:
