--- a/limeridge/configuration/chain.py
+++ b/limeridge/configuration/chain.py
@@ -29,7 +29,7 @@
 
 HASH_BYTES = 16
 NO_HASH = bytes(HASH_BYTES)
-REMEMBERED_MOST = 100_000  # change ids; a week at 15,000 changes a day
+MAX_REMEMBERED_IDS = 100_000  # change ids; a week at 15,000 changes a day
 
 # Publishers have no requests open: what they remove is forgotten with the next change.
 PUBLISHER_NOW, PUBLISHER_RETIRED_UNTIL = 2, 1
@@ -84,7 +84,7 @@
 
     number: int
     token: FencingToken
-    time: int  # Unix time in microseconds as the publisher's clock had it; it may step back
+    unix_time_us: int  # Unix time in microseconds as the publisher's clock had it; it may step back
     draft: Draft
     refused: bool = False  # did not fit the tables before it
 
@@ -112,19 +112,19 @@
 class Receipt:
     """The answer to an author, good once the revision is committed.
 
-    `again` where the change id had been decided on before. `refused` where the draft does not fit the tables;
-    `faults` then says why, the first time.
+    `repeated` is set if the change id was decided before. `refused` is set if the draft does not fit the
+    tables; `faults` has the reasons, in the first receipt only.
     """
 
     number: int
     hash: bytes
-    again: bool = False
+    repeated: bool = False
     refused: bool = False
     faults: tuple[Fault, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
-class Remembered:
+class ChangeIdRecord:
     """What a change id stands for."""
 
     number: int
@@ -133,7 +133,7 @@
     refused: bool
 
 
-def hash_of(previous: bytes, revision: Revision, digest: int) -> bytes:
+def revision_hash(previous: bytes, revision: Revision, digest: int) -> bytes:
     token = revision.token
     covered = encode_fields(
         previous,
@@ -141,7 +141,7 @@
         b"%d" % token.number,
         encode_text(token.holder),
         b"%d" % token.nonce,
-        b"%d" % revision.time,
+        b"%d" % revision.unix_time_us,
         b"%d" % revision.refused,
         encode_draft(revision.draft),
         digest.to_bytes(DIGEST_BYTES, "big"),
@@ -149,29 +149,29 @@
     return blake2b(covered, digest_size=HASH_BYTES).digest()
 
 
-def entry_of(previous: bytes, revision: Revision, digest: int) -> Entry:
-    return Entry(revision, previous, digest, hash_of(previous, revision, digest))
+def make_entry(previous: bytes, revision: Revision, digest: int) -> Entry:
+    return Entry(revision, previous, digest, revision_hash(previous, revision, digest))
 
 
-def is_sound(entry: Entry) -> bool:
+def has_valid_hash(entry: Entry) -> bool:
     """Whether the entry's hash is that of its content."""
-    return entry.hash == hash_of(entry.previous, entry.revision, entry.digest)
+    return entry.hash == revision_hash(entry.previous, entry.revision, entry.digest)
 
 
-def first_entry(tables: Tables, time: int) -> Entry:
+def first_entry(tables: Tables, unix_time_us: int) -> Entry:
     """Revision 0: the tables that a chain begins with."""
     draft = Draft("first", "publisher", "the tables that the chain begins with", ())
-    return entry_of(NO_HASH, Revision(0, FencingToken(), time, draft), tables.digest)
+    return make_entry(NO_HASH, Revision(0, FencingToken(), unix_time_us, draft), tables.digest)
 
 
 class Chain:
     """One publisher's log: a base with its tables, the entries after it, and which of them are committed."""
 
     def __init__(
-        self, base: Entry, tables: Tables, remembered: Iterable[tuple[str, Remembered]] = ()
+        self, base: Entry, tables: Tables, change_id_records: Iterable[tuple[str, ChangeIdRecord]] = ()
     ) -> None:
-        """`base` is committed; `remembered` are the change ids that an earlier log had. Raises BrokenLink."""
-        if not is_sound(base) or base.digest != tables.digest:
+        """Starts from a committed `base` and the change ids of an earlier log. Raises BrokenLink."""
+        if not has_valid_hash(base) or base.digest != tables.digest:
             raise BrokenLink(f"revision {base.revision.number} does not have these tables")
         self.base = base
         self._base_tables = tables
@@ -179,7 +179,7 @@
         self.tables = tables  # after the last entry, committed or not
         self.committed = base.revision.number
         self.promised = base.revision.token  # nothing under an older one is taken
-        self._remembered = dict(remembered)
+        self._change_id_records = dict(change_id_records)
 
     @property
     def last(self) -> Entry:
@@ -193,20 +193,20 @@
     def committed_head(self) -> Head:
         return self.entry(self.committed).head
 
-    def remembered(self) -> tuple[tuple[str, Remembered], ...]:
+    def change_id_records(self) -> tuple[tuple[str, ChangeIdRecord], ...]:
         """Change ids, oldest first, for the log of another publisher."""
-        return tuple(self._remembered.items())
+        return tuple(self._change_id_records.items())
 
     def receipt(self, draft: Draft) -> Receipt | None:
         """The answer where the change id was accepted before. Raises ChangeIdReused."""
-        before = self._remembered.get(draft.change_id)
+        before = self._change_id_records.get(draft.change_id)
         if before is None:
             return None
         if before.fingerprint != draft_fingerprint(draft):
             raise ChangeIdReused(f"the change id {draft.change_id!r} stands for other changes")
-        return Receipt(before.number, before.hash, again=True, refused=before.refused)
+        return Receipt(before.number, before.hash, repeated=True, refused=before.refused)
 
-    def accept(self, draft: Draft, token: FencingToken, time: int) -> Receipt:
+    def accept(self, draft: Draft, token: FencingToken, unix_time_us: int) -> Receipt:
         """Append a draft, or that it is refused; either counts once it is committed.
 
         Raises ChainFault, and Refused for a draft that no tables could take. What does not fit these tables
@@ -220,13 +220,13 @@
         faults: tuple[Fault, ...] = ()
         try:
             check_applicable(self.tables, draft)
-        except Refused as refused:
-            faults = refused.faults
-        revision = Revision(self.head.number + 1, token, time, draft, refused=bool(faults))
-        entry = self._append(revision)
+        except Refused as error:
+            faults = error.faults
+        revision = Revision(self.head.number + 1, token, unix_time_us, draft, refused=bool(faults))
+        entry = self._append_revision(revision)
         return Receipt(revision.number, entry.hash, refused=revision.refused, faults=faults)
 
-    def take_over(self, token: FencingToken, time: int) -> Entry:
+    def take_over(self, token: FencingToken, unix_time_us: int) -> Entry:
         """Append the revision without changes that a new holder begins with. Raises StaleToken."""
         if token <= self.head.token or token < self.promised:
             raise StaleToken(f"revision {self.head.number} was written under a token that is not older")
@@ -234,7 +234,7 @@
         draft = Draft(
             f"take-over-{number}-{token.number}", token.holder, "takes over the duty to publish", ()
         )
-        return self._append(Revision(number, token, time, draft))
+        return self._append_revision(Revision(number, token, unix_time_us, draft))
 
     def promise(self, token: FencingToken) -> None:
         """Take nothing under an older token from now on. Raises StaleToken where a newer one is promised."""
@@ -254,17 +254,21 @@
                 if number < self.base.revision.number or self.entry(number).hash == entry.hash:
                     continue
                 self._truncate(number)
-            if entry.previous != self.head.hash or number != self.head.number + 1 or not is_sound(entry):
+            if (
+                entry.previous != self.head.hash
+                or number != self.head.number + 1
+                or not has_valid_hash(entry)
+            ):
                 raise BrokenLink(f"revision {number} does not follow revision {self.head.number}")
             if entry.revision.token < self.head.token:
                 raise BrokenLink(f"revision {number} is under an older token than the one before it")
             try:
-                tables = replayed(self.tables, [entry.revision])
+                tables = replay(self.tables, [entry.revision])
             except InapplicableChange as fault:
                 raise BrokenLink(f"revision {number} does not fit: {fault}") from None
             if tables.digest != entry.digest:
                 raise BrokenLink(f"revision {number} gives other tables here")
-            self._add(entry, tables)
+            self._append_entry(entry, tables)
 
     def commit(self, number: int) -> None:
         """A majority has all up to this revision. Raises NotInLog beyond the head; never goes back."""
@@ -279,7 +283,7 @@
             raise NotInLog(f"revision {number} is not in the log")
         return self._entries[index - 1] if index else self.base
 
-    def after(self, head: Head, most: int) -> tuple[Entry, ...] | None:
+    def entries_after(self, head: Head, limit: int) -> tuple[Entry, ...] | None:
         """Committed entries behind a subscriber's head, at most so many; None where only a snapshot helps.
 
         Empty where the subscriber has all that is committed as far as this publisher knows.
@@ -291,7 +295,7 @@
         if known.hash != head.hash:
             return None
         first = head.number - self.base.revision.number
-        return tuple(self._entries[first : min(first + most, self.committed - self.base.revision.number)])
+        return tuple(self._entries[first : min(first + limit, self.committed - self.base.revision.number)])
 
     def tables_at(self, number: int) -> Tables:
         """The tables by a revision of the log. Raises NotInLog."""
@@ -299,7 +303,7 @@
         if number == self.head.number:
             return self.tables
         entries = self._entries[: number - self.base.revision.number]
-        return replayed(self._base_tables, [entry.revision for entry in entries])
+        return replay(self._base_tables, [entry.revision for entry in entries])
 
     def compact(self, keep: int) -> None:
         """Forget all but the last `keep` committed entries; the base moves up to what was before them."""
@@ -310,21 +314,21 @@
         del self._entries[: number - self.base.revision.number]
         self.base, self._base_tables = base, tables
 
-    def _append(self, revision: Revision) -> Entry:
-        tables = replayed(self.tables, [revision])
-        entry = entry_of(self.head.hash, revision, tables.digest)
-        self._add(entry, tables)
+    def _append_revision(self, revision: Revision) -> Entry:
+        tables = replay(self.tables, [revision])
+        entry = make_entry(self.head.hash, revision, tables.digest)
+        self._append_entry(entry, tables)
         return entry
 
-    def _add(self, entry: Entry, tables: Tables) -> None:
+    def _append_entry(self, entry: Entry, tables: Tables) -> None:
         self._entries.append(entry)
         self.tables = tables
         draft = entry.revision.draft
-        self._remembered[draft.change_id] = Remembered(
+        self._change_id_records[draft.change_id] = ChangeIdRecord(
             entry.revision.number, entry.hash, draft_fingerprint(draft), entry.revision.refused
         )
-        while len(self._remembered) > REMEMBERED_MOST:
-            del self._remembered[next(iter(self._remembered))]
+        while len(self._change_id_records) > MAX_REMEMBERED_IDS:
+            del self._change_id_records[next(iter(self._change_id_records))]
 
     def _truncate(self, number: int) -> None:
         """Take back this uncommitted revision and all behind it."""
@@ -333,12 +337,12 @@
         tables = self.tables_at(number - 1)
         kept = number - 1 - self.base.revision.number
         for entry in self._entries[kept:]:
-            self._remembered.pop(entry.revision.draft.change_id, None)
+            self._change_id_records.pop(entry.revision.draft.change_id, None)
         del self._entries[kept:]
         self.tables = tables
 
 
-def replayed(tables: Tables, revisions: Iterable[Revision]) -> Tables:
+def replay(tables: Tables, revisions: Iterable[Revision]) -> Tables:
     """The tables after all revisions, built once. Raises InapplicableChange."""
     editor = TablesEditor(tables, now=PUBLISHER_NOW, retired_until=PUBLISHER_RETIRED_UNTIL)
     for revision in revisions:
--- a/limeridge/configuration/encoding.py
+++ b/limeridge/configuration/encoding.py
@@ -32,20 +32,20 @@
     encode_draft,
 )
 from limeridge.configuration.routes import MAX_CLASSES, MAX_PREFIX_CHARACTERS
-from limeridge.configuration.snapshot import PART_ENTRIES, SnapshotHeader, SnapshotPart
-from limeridge.configuration.subscriber import AskDeltas, AskSnapshot, Deltas, Why, deltas_of
+from limeridge.configuration.snapshot import MAX_PART_ENTRIES, SnapshotHeader, SnapshotPart
+from limeridge.configuration.subscriber import Deltas, Reason, RequestDeltas, RequestSnapshot, make_deltas
 from limeridge.configuration.tables import DIGEST_BYTES, ClassLimits
 from limeridge.configuration.tenants import MAX_NAME_CHARACTERS, MAX_QUOTA
 
 MAGIC = b"LRC"
 VERSION = 1
-FRAME_MOST = 1 << 21  # bytes of a message as it is sent
-PLAIN_MOST = 1 << 23  # bytes of it once it is decompressed
-REVISIONS_MOST = 200  # in one message
-LEVEL = 3
+MAX_FRAME_BYTES = 1 << 21  # of a message as it is sent
+MAX_PLAIN_BYTES = 1 << 23  # of a message after decompression
+MAX_REVISIONS_PER_MESSAGE = 200
+COMPRESSION_LEVEL = 3
 
-Natural = Annotated[int, Meta(ge=0, le=2**63 - 1)]
-Time = Annotated[int, Meta(ge=-(2**63), le=2**63 - 1)]
+NonNegative = Annotated[int, Meta(ge=0, le=2**63 - 1)]
+UnixTime = Annotated[int, Meta(ge=-(2**63), le=2**63 - 1)]
 Hash = Annotated[bytes, Meta(min_length=HASH_BYTES, max_length=HASH_BYTES)]
 Digest = Annotated[bytes, Meta(min_length=DIGEST_BYTES, max_length=DIGEST_BYTES)]
 Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_CHARACTERS)]
@@ -58,29 +58,29 @@
     """The bytes are no message of this version, or go beyond a bound."""
 
 
-class _Wire(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+class _WireStruct(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
     """A shape on the wire: an array, its fields in this order, behind a tag where there are several kinds."""
 
 
-class WirePutTenant(_Wire, tag=1, frozen=True):
+class WirePutTenant(_WireStruct, tag=1, frozen=True):
     name: Name
     quota: Quota
 
 
-class WireRemoveTenant(_Wire, tag=2, frozen=True):
+class WireRemoveTenant(_WireStruct, tag=2, frozen=True):
     name: Name
 
 
-class WirePutRoute(_Wire, tag=3, frozen=True):
+class WirePutRoute(_WireStruct, tag=3, frozen=True):
     prefix: Prefix
     class_name: Name
 
 
-class WireRemoveRoute(_Wire, tag=4, frozen=True):
+class WireRemoveRoute(_WireStruct, tag=4, frozen=True):
     prefix: Prefix
 
 
-class WireSetClassLimit(_Wire, tag=5, frozen=True):
+class WireSetClassLimit(_WireStruct, tag=5, frozen=True):
     class_name: Name
     share: Share
 
@@ -88,16 +88,16 @@
 WireChange = WirePutTenant | WireRemoveTenant | WirePutRoute | WireRemoveRoute | WireSetClassLimit
 
 
-class WireToken(_Wire, frozen=True):
-    number: Natural
+class WireToken(_WireStruct, frozen=True):
+    number: NonNegative
     holder: Annotated[str, Meta(max_length=MAX_NAME_CHARACTERS)]
-    nonce: Natural
+    nonce: NonNegative
 
 
-class WireRevision(_Wire, frozen=True):
-    number: Natural
+class WireRevision(_WireStruct, frozen=True):
+    number: NonNegative
     token: WireToken
-    time: Time
+    unix_time_us: UnixTime
     refused: bool
     change_id: Annotated[str, Meta(max_length=MAX_CHANGE_ID_CHARACTERS)]
     author: Annotated[str, Meta(max_length=MAX_AUTHOR_CHARACTERS)]
@@ -105,47 +105,47 @@
     changes: Annotated[tuple[WireChange, ...], Meta(max_length=MAX_CHANGES)]
 
 
-class WireHead(_Wire, tag=1, frozen=True):
-    number: Natural
+class WireHead(_WireStruct, tag=1, frozen=True):
+    number: NonNegative
     hash: Hash
     token: WireToken
 
 
-class WireDeltas(_Wire, tag=2, frozen=True):
-    revisions: Annotated[tuple[WireRevision, ...], Meta(min_length=1, max_length=REVISIONS_MOST)]
+class WireDeltas(_WireStruct, tag=2, frozen=True):
+    revisions: Annotated[tuple[WireRevision, ...], Meta(min_length=1, max_length=MAX_REVISIONS_PER_MESSAGE)]
     last_hash: Hash
 
 
-class WireEntry(_Wire, tag=3, frozen=True):
+class WireEntry(_WireStruct, tag=3, frozen=True):
     revision: WireRevision
     previous: Hash
     digest: Digest
     hash: Hash
 
 
-class WireSnapshotHeader(_Wire, tag=4, frozen=True):
+class WireSnapshotHeader(_WireStruct, tag=4, frozen=True):
     entry: WireEntry
     class_names: Annotated[tuple[Name, ...], Meta(max_length=MAX_CLASSES)]
     class_shares: Annotated[tuple[Share, ...], Meta(max_length=MAX_CLASSES)]
-    tenants: Natural
-    routes: Natural
-    parts: Natural
+    tenants: NonNegative
+    routes: NonNegative
+    parts: NonNegative
 
 
-class WireSnapshotPart(_Wire, tag=5, frozen=True):
+class WireSnapshotPart(_WireStruct, tag=5, frozen=True):
     hash: Hash
-    index: Natural
-    tenants: Annotated[tuple[tuple[Name, Quota], ...], Meta(max_length=PART_ENTRIES)]
-    routes: Annotated[tuple[tuple[Prefix, Name], ...], Meta(max_length=PART_ENTRIES)]
+    index: NonNegative
+    tenants: Annotated[tuple[tuple[Name, Quota], ...], Meta(max_length=MAX_PART_ENTRIES)]
+    routes: Annotated[tuple[tuple[Prefix, Name], ...], Meta(max_length=MAX_PART_ENTRIES)]
 
 
-class WireAskDeltas(_Wire, tag=6, frozen=True):
+class WireRequestDeltas(_WireStruct, tag=6, frozen=True):
     after: WireHead
-    why: Why
+    reason: Reason
 
 
-class WireAskSnapshot(_Wire, tag=7, frozen=True):
-    why: Why
+class WireRequestSnapshot(_WireStruct, tag=7, frozen=True):
+    reason: Reason
 
 
 WireMessage = (
@@ -154,26 +154,26 @@
     | WireEntry
     | WireSnapshotHeader
     | WireSnapshotPart
-    | WireAskDeltas
-    | WireAskSnapshot
+    | WireRequestDeltas
+    | WireRequestSnapshot
 )
-Message = Head | Deltas | Entry | SnapshotHeader | SnapshotPart | AskDeltas | AskSnapshot
+Message = Head | Deltas | Entry | SnapshotHeader | SnapshotPart | RequestDeltas | RequestSnapshot
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[WireMessage] = msgspec.msgpack.Decoder(WireMessage)
-_compressor = zstandard.ZstdCompressor(level=LEVEL)
-_decompressor = zstandard.ZstdDecompressor(max_window_size=PLAIN_MOST)
+_compressor = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL)
+_decompressor = zstandard.ZstdDecompressor(max_window_size=MAX_PLAIN_BYTES)
 
 
 def encode(message: Message) -> bytes:
     """Raises BadMessage where the message can't be sent: too large, or with a text that is no Unicode."""
     try:
-        plain = _encoder.encode(_wire(message))
+        plain = _encoder.encode(_message_to_wire(message))
     except (UnicodeEncodeError, OverflowError) as error:
         raise BadMessage(str(error)) from None
     frame = MAGIC + bytes([VERSION]) + _compressor.compress(plain)
-    if len(plain) > PLAIN_MOST or len(frame) > FRAME_MOST:
-        raise BadMessage(f"expected at most {FRAME_MOST} bytes, {PLAIN_MOST} once decompressed")
+    if len(plain) > MAX_PLAIN_BYTES or len(frame) > MAX_FRAME_BYTES:
+        raise BadMessage(f"expected at most {MAX_FRAME_BYTES} bytes, {MAX_PLAIN_BYTES} once decompressed")
     return frame
 
 
@@ -184,25 +184,25 @@
     for entry in entries:
         batch.append(entry)
         size += len(encode_draft(entry.revision.draft))
-        if len(batch) == REVISIONS_MOST or size >= MAX_DRAFT_BYTES:
-            yield encode(deltas_of(batch))
+        if len(batch) == MAX_REVISIONS_PER_MESSAGE or size >= MAX_DRAFT_BYTES:
+            yield encode(make_deltas(batch))
             batch, size = [], 0
     if batch:
-        yield encode(deltas_of(batch))
+        yield encode(make_deltas(batch))
 
 
 def decode(frame: bytes) -> Message:
     """Raises BadMessage."""
-    plain = _decompressed(frame)
+    plain = _decompress(frame)
     try:
-        return _message(_decoder.decode(plain))
+        return _message_from_wire(_decoder.decode(plain))
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
         raise BadMessage(str(error)) from None
 
 
-def _decompressed(frame: bytes) -> bytes:
-    if len(frame) > FRAME_MOST:
-        raise BadMessage(f"expected at most {FRAME_MOST} bytes, got {len(frame)}")
+def _decompress(frame: bytes) -> bytes:
+    if len(frame) > MAX_FRAME_BYTES:
+        raise BadMessage(f"expected at most {MAX_FRAME_BYTES} bytes, got {len(frame)}")
     if frame[: len(MAGIC)] != MAGIC or len(frame) <= len(MAGIC):
         raise BadMessage("expected a message of configuration")
     if frame[len(MAGIC)] != VERSION:
@@ -210,97 +210,101 @@
     compressed = frame[len(MAGIC) + 1 :]
     try:
         size = zstandard.get_frame_parameters(compressed).content_size
-        if size in (zstandard.CONTENTSIZE_UNKNOWN, zstandard.CONTENTSIZE_ERROR) or size > PLAIN_MOST:
-            raise BadMessage(f"expected at most {PLAIN_MOST} bytes once decompressed")
+        if size in (zstandard.CONTENTSIZE_UNKNOWN, zstandard.CONTENTSIZE_ERROR) or size > MAX_PLAIN_BYTES:
+            raise BadMessage(f"expected at most {MAX_PLAIN_BYTES} bytes once decompressed")
         return _decompressor.decompress(compressed, allow_extra_data=False)
     except zstandard.ZstdError as error:
         raise BadMessage(str(error)) from None
 
 
-def _wire(message: Message) -> WireMessage:
+def _message_to_wire(message: Message) -> WireMessage:
     match message:
         case Head():
-            return _wire_head(message)
+            return _head_to_wire(message)
         case Deltas(revisions, last_hash):
-            return WireDeltas(tuple(map(_wire_revision, revisions)), last_hash)
+            return WireDeltas(tuple(map(_revision_to_wire, revisions)), last_hash)
         case Entry():
-            return _wire_entry(message)
+            return _entry_to_wire(message)
         case SnapshotHeader(entry, limits, tenants, routes, parts):
-            return WireSnapshotHeader(_wire_entry(entry), limits.names, limits.shares, tenants, routes, parts)
+            return WireSnapshotHeader(
+                _entry_to_wire(entry), limits.names, limits.shares, tenants, routes, parts
+            )
         case SnapshotPart(chain_hash, index, tenants_of, routes_of):
             return WireSnapshotPart(chain_hash, index, tenants_of, routes_of)
-        case AskDeltas(after, why):
-            return WireAskDeltas(_wire_head(after), why)
-        case AskSnapshot(why):
-            return WireAskSnapshot(why)
+        case RequestDeltas(after, reason):
+            return WireRequestDeltas(_head_to_wire(after), reason)
+        case RequestSnapshot(reason):
+            return WireRequestSnapshot(reason)
 
 
-def _message(wire: WireMessage) -> Message:
+def _message_from_wire(wire: WireMessage) -> Message:
     match wire:
         case WireHead():
-            return _head(wire)
+            return _head_from_wire(wire)
         case WireDeltas():
-            return Deltas(tuple(map(_revision, wire.revisions)), wire.last_hash)
+            return Deltas(tuple(map(_revision_from_wire, wire.revisions)), wire.last_hash)
         case WireEntry():
-            return _entry(wire)
+            return _entry_from_wire(wire)
         case WireSnapshotHeader():
             if len(wire.class_names) != len(wire.class_shares):
                 raise BadMessage("expected as many shares as classes")
             limits = ClassLimits(wire.class_names, wire.class_shares)
-            return SnapshotHeader(_entry(wire.entry), limits, wire.tenants, wire.routes, wire.parts)
+            return SnapshotHeader(_entry_from_wire(wire.entry), limits, wire.tenants, wire.routes, wire.parts)
         case WireSnapshotPart():
             return SnapshotPart(wire.hash, wire.index, wire.tenants, wire.routes)
-        case WireAskDeltas():
-            return AskDeltas(_head(wire.after), wire.why)
-        case WireAskSnapshot():
-            return AskSnapshot(wire.why)
+        case WireRequestDeltas():
+            return RequestDeltas(_head_from_wire(wire.after), wire.reason)
+        case WireRequestSnapshot():
+            return RequestSnapshot(wire.reason)
 
 
-def _wire_head(head: Head) -> WireHead:
-    return WireHead(head.number, head.hash, _wire_token(head.token))
+def _head_to_wire(head: Head) -> WireHead:
+    return WireHead(head.number, head.hash, _token_to_wire(head.token))
 
 
-def _head(wire: WireHead) -> Head:
-    return Head(wire.number, wire.hash, _token(wire.token))
+def _head_from_wire(wire: WireHead) -> Head:
+    return Head(wire.number, wire.hash, _token_from_wire(wire.token))
 
 
-def _wire_token(token: FencingToken) -> WireToken:
+def _token_to_wire(token: FencingToken) -> WireToken:
     return WireToken(token.number, token.holder, token.nonce)
 
 
-def _token(wire: WireToken) -> FencingToken:
+def _token_from_wire(wire: WireToken) -> FencingToken:
     return FencingToken(wire.number, wire.holder, wire.nonce)
 
 
-def _wire_entry(entry: Entry) -> WireEntry:
+def _entry_to_wire(entry: Entry) -> WireEntry:
     digest = entry.digest.to_bytes(DIGEST_BYTES, "big")
-    return WireEntry(_wire_revision(entry.revision), entry.previous, digest, entry.hash)
+    return WireEntry(_revision_to_wire(entry.revision), entry.previous, digest, entry.hash)
 
 
-def _entry(wire: WireEntry) -> Entry:
-    return Entry(_revision(wire.revision), wire.previous, int.from_bytes(wire.digest, "big"), wire.hash)
+def _entry_from_wire(wire: WireEntry) -> Entry:
+    return Entry(
+        _revision_from_wire(wire.revision), wire.previous, int.from_bytes(wire.digest, "big"), wire.hash
+    )
 
 
-def _wire_revision(revision: Revision) -> WireRevision:
+def _revision_to_wire(revision: Revision) -> WireRevision:
     draft = revision.draft
     return WireRevision(
         revision.number,
-        _wire_token(revision.token),
-        revision.time,
+        _token_to_wire(revision.token),
+        revision.unix_time_us,
         revision.refused,
         draft.change_id,
         draft.author,
         draft.reason,
-        tuple(map(_wire_change, draft.changes)),
+        tuple(map(_change_to_wire, draft.changes)),
     )
 
 
-def _revision(wire: WireRevision) -> Revision:
-    draft = Draft(wire.change_id, wire.author, wire.reason, tuple(map(_change, wire.changes)))
-    return Revision(wire.number, _token(wire.token), wire.time, draft, wire.refused)
+def _revision_from_wire(wire: WireRevision) -> Revision:
+    draft = Draft(wire.change_id, wire.author, wire.reason, tuple(map(_change_from_wire, wire.changes)))
+    return Revision(wire.number, _token_from_wire(wire.token), wire.unix_time_us, draft, wire.refused)
 
 
-def _wire_change(change: Change) -> WireChange:
+def _change_to_wire(change: Change) -> WireChange:
     match change:
         case PutTenant(name, quota):
             return WirePutTenant(name, quota)
@@ -314,7 +318,7 @@
             return WireSetClassLimit(class_name, share)
 
 
-def _change(wire: WireChange) -> Change:
+def _change_from_wire(wire: WireChange) -> Change:
     match wire:
         case WirePutTenant():
             return PutTenant(wire.name, wire.quota)
--- a/limeridge/configuration/histories.py
+++ b/limeridge/configuration/histories.py
@@ -38,17 +38,17 @@
     SetClassLimit,
 )
 from limeridge.configuration.checks import Refused
-from limeridge.configuration.snapshot import Snapshot, SnapshotFault, SnapshotPart, snapshot_of
+from limeridge.configuration.snapshot import Snapshot, SnapshotFault, SnapshotPart, make_snapshot
 from limeridge.configuration.subscriber import (
     Apply,
-    AskDeltas,
-    AskSnapshot,
     Decision,
     Deltas,
     Load,
+    RequestDeltas,
+    RequestSnapshot,
     Subscriber,
-    Terms,
-    deltas_of,
+    SubscriberTimes,
+    make_deltas,
 )
 from limeridge.configuration.tables import ClassLimits, Tables, canonical_bytes
 from limeridge.configuration.tenants import TenantTable
@@ -148,11 +148,16 @@
         self.chance = random.Random(seed)
         self.now = 0
         self.healed = False
-        self.retention = self.chance.choice((500_000, 3_000_000, 3_600_000_000))
+        self.retention_us = self.chance.choice((500_000, 3_000_000, 3_600_000_000))
         first = first_entry(tables := Tables.empty(ClassLimits(CLASSES, (0.0,) * len(CLASSES))), 0)
         self.publishers = [Publisher(number, Chain(first, tables)) for number in range(PUBLISHERS)]
         self.subscribers = [
-            Subscriber(tables, None, random.Random(seed * 100 + number), Terms(retention=self.retention))
+            Subscriber(
+                tables,
+                None,
+                random.Random(seed * 100 + number),
+                SubscriberTimes(retention_us=self.retention_us),
+            )
             for number in range(SUBSCRIBERS)
         ]
         self.homes = [number % PUBLISHERS for number in range(SUBSCRIBERS)]
@@ -262,7 +267,9 @@
         """The entries that the target lacks, or the whole chain where the source's log is too short."""
         base = source.chain.base
         if base.revision.number > target.chain.committed:
-            fresh = Chain(base, source.chain.tables_at(base.revision.number), source.chain.remembered())
+            fresh = Chain(
+                base, source.chain.tables_at(base.revision.number), source.chain.change_id_records()
+            )
             fresh.promised = target.chain.promised
             target.chain = fresh
         first = max(base.revision.number, target.chain.committed) + 1
@@ -286,11 +293,11 @@
             chain.accept(draft, token, 0)
         if self.chance.random() < 0.5:
             chain.commit(chain.head.number)
-            self._snapshot(number, snapshot_of(chain.last, chain.tables))
+            self._snapshot(number, make_snapshot(chain.last, chain.tables))
         else:
             first = subscriber.head.number + 1
             entries = [chain.entry(each) for each in range(first, chain.head.number + 1)]
-            self._deltas(number, deltas_of(entries))
+            self._deltas(number, make_deltas(entries))
 
     def _altered(self, deltas: Deltas) -> Deltas:
         """Sometimes not what was sent: a revision left out, two exchanged, a text or a token of another."""
@@ -386,7 +393,7 @@
     def _stream(self, publisher: Publisher, entries: list[Entry]) -> None:
         for number, home in enumerate(self.homes):
             if home == publisher.number and entries:
-                deltas = deltas_of(entries)
+                deltas = make_deltas(entries)
                 self._send(lambda number=number, deltas=deltas: self._deltas(number, deltas), late=True)  # type: ignore[misc]
 
     def _publish(self, step: int) -> None:
@@ -473,28 +480,28 @@
 
     def _deltas(self, number: int, deltas: Deltas) -> None:
         altered = self._altered(deltas)
-        self._decided(number, self.subscribers[number].hears_deltas(altered, self.now))
+        self._decided(number, self.subscribers[number].receive_deltas(altered, self.now))
 
     def _head(self, number: int, head: Head) -> None:
-        self._decided(number, self.subscribers[number].hears_head(head, self.now))
+        self._decided(number, self.subscribers[number].receive_head(head, self.now))
 
     def _decided(self, number: int, decision: Decision) -> None:
         home = self.publishers[self.homes[number]]
-        if isinstance(decision, AskDeltas):
+        if isinstance(decision, RequestDeltas):
             self._send(lambda: self._asks_deltas(home, number, decision))
-        elif isinstance(decision, AskSnapshot):
+        elif isinstance(decision, RequestSnapshot):
             self._send(lambda: self._asks_snapshot(home, number))
         elif isinstance(decision, Apply):
             self._judge_subscriber(number)
 
-    def _asks_deltas(self, home: Publisher, number: int, asking: AskDeltas) -> None:
+    def _asks_deltas(self, home: Publisher, number: int, asking: RequestDeltas) -> None:
         if not home.up:
             return
-        entries = home.chain.after(asking.after, 50)
+        entries = home.chain.entries_after(asking.after, 50)
         if entries is None:
             self._asks_snapshot(home, number)
         elif entries:
-            deltas = deltas_of(entries)
+            deltas = make_deltas(entries)
             self._send(lambda: self._deltas(number, deltas), late=True)
         else:
             head = home.chain.committed_head
@@ -504,24 +511,24 @@
         if not home.up:
             return
         chain = home.chain
-        snapshot = snapshot_of(chain.entry(chain.committed), chain.tables_at(chain.committed))
+        snapshot = make_snapshot(chain.entry(chain.committed), chain.tables_at(chain.committed))
         self._send(lambda: self._snapshot(number, snapshot), late=True)
 
     def _snapshot(self, number: int, snapshot: Snapshot) -> None:
         subscriber = self.subscribers[number]
-        decision = subscriber.hears_snapshot(snapshot.header, self.now)
+        decision = subscriber.receive_snapshot(snapshot.header, self.now)
         self._decided(number, decision)
         if not isinstance(decision, Load):
             return
         loader = decision.loader
         try:
             for part in self._parts(snapshot):
-                _exhaust(loader.take(part))
+                _exhaust(loader.load_part(part))
             _exhaust(loader.finish())
         except SnapshotFault:
-            self._decided(number, subscriber.not_loaded(self.now))
+            self._decided(number, subscriber.snapshot_failed(self.now))
             return
-        self._decided(number, subscriber.loaded())
+        self._decided(number, subscriber.snapshot_loaded())
 
     def _parts(self, snapshot: Snapshot) -> list[SnapshotPart]:
         """Sometimes one is missing, doubled, or not what was sent."""
@@ -596,7 +603,7 @@
             del numbers[name], kept_until[name]
         for name in numbers:
             if name not in present:
-                kept_until.setdefault(name, self.now + self.retention)
+                kept_until.setdefault(name, self.now + self.retention_us)
         for name, found in present.items():
             kept_until.pop(name, None)
             if found is None or numbers.setdefault(name, found) != found:
--- a/limeridge/configuration/measure.py
+++ b/limeridge/configuration/measure.py
@@ -20,7 +20,7 @@
 from limeridge.configuration.changes import Change, Draft, PutRoute, PutTenant
 from limeridge.configuration.encoding import decode, encode, encode_entries
 from limeridge.configuration.samples import CLASSES, ROUTES, TENANTS, sample_tables, size_of
-from limeridge.configuration.snapshot import SnapshotHeader, SnapshotLoader, SnapshotPart, snapshot_of
+from limeridge.configuration.snapshot import SnapshotHeader, SnapshotLoader, SnapshotPart, make_snapshot
 from limeridge.configuration.subscriber import Deltas, Subscriber
 from limeridge.configuration.tables import Tables
 
@@ -97,7 +97,7 @@
     """A snapshot made, encoded, decoded and loaded by an instance that has no table."""
     chain = _chain_of(tables)
     began = time.thread_time()
-    snapshot = snapshot_of(chain.last, tables)
+    snapshot = make_snapshot(chain.last, tables)
     made = time.thread_time()
     frames = [encode(snapshot.header), *map(encode, snapshot.parts)]
     encoded = time.thread_time()
@@ -119,7 +119,7 @@
     """Seconds of each piece of work of an instance that applies deltas."""
     if not isinstance(message, Deltas):
         raise RuntimeError("the measured message is no delta")
-    yield from _timed(subscriber.deltas_in_steps(message, 1))
+    yield from _timed(subscriber.receive_deltas_in_steps(message, 1))
     if subscriber.head is None or subscriber.head.number != message.revisions[-1].number:
         raise RuntimeError("the measured deltas were not applied")
 
@@ -138,7 +138,7 @@
         if not isinstance(part, SnapshotPart):
             raise RuntimeError("the measured snapshot has something else in it")
         yield time.thread_time() - began
-        yield from _timed(loader.take(part))
+        yield from _timed(loader.load_part(part))
     yield from _timed(loader.finish())
     if loader.tables.digest != header.entry.digest:
         raise RuntimeError("the measured snapshot was not loaded")
--- a/limeridge/configuration/snapshot.py
+++ b/limeridge/configuration/snapshot.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
-from limeridge.configuration.chain import Entry, Head, is_sound
+from limeridge.configuration.chain import Entry, Head, has_valid_hash
 from limeridge.configuration.routes import RouteFault, RouteTableBuilder
 from limeridge.configuration.tables import (
     DIGEST_MASK,
@@ -25,8 +25,8 @@
 )
 from limeridge.configuration.tenants import TenantFault, TenantTableBuilder
 
-PART_ENTRIES = 1_000
-PART_CHARACTERS = 100_000  # of names or prefixes in a part
+MAX_PART_ENTRIES = 1_000
+PART_CHARACTER_LIMIT = 100_000  # of names or prefixes in a part
 ENTRIES_PER_STEP = 50  # under a millisecond
 
 
@@ -68,26 +68,28 @@
     parts: tuple[SnapshotPart, ...]
 
 
-def snapshot_of(entry: Entry, tables: Tables) -> Snapshot:
+def make_snapshot(entry: Entry, tables: Tables) -> Snapshot:
     """The same for the same tables, whatever they went through. Takes long where the tables are large."""
     tenants, routes = sorted_tenants(tables), sorted_routes(tables)
-    parts = [SnapshotPart(entry.hash, index, cut, ()) for index, cut in enumerate(_cut(tenants))]
-    parts += [SnapshotPart(entry.hash, index, (), cut) for index, cut in enumerate(_cut(routes), len(parts))]
+    parts = [SnapshotPart(entry.hash, index, rows, ()) for index, rows in enumerate(_split(tenants))]
+    parts += [
+        SnapshotPart(entry.hash, index, (), rows) for index, rows in enumerate(_split(routes), len(parts))
+    ]
     return Snapshot(SnapshotHeader(entry, tables.limits, len(tenants), len(routes), len(parts)), tuple(parts))
 
 
-def _cut(entries: list[Row]) -> Iterator[tuple[Row, ...]]:
-    """Pieces in order, each of PART_ENTRIES or of about PART_CHARACTERS at the most."""
-    piece: list[Row] = []
+def _split(entries: list[Row]) -> Iterator[tuple[Row, ...]]:
+    """Pieces in order, each of at most MAX_PART_ENTRIES entries or about PART_CHARACTER_LIMIT characters."""
+    rows: list[Row] = []
     size = 0
     for entry in entries:
-        piece.append(entry)
+        rows.append(entry)
         size += len(entry[0])
-        if len(piece) == PART_ENTRIES or size >= PART_CHARACTERS:
-            yield tuple(piece)
-            piece, size = [], 0
-    if piece:
-        yield tuple(piece)
+        if len(rows) == MAX_PART_ENTRIES or size >= PART_CHARACTER_LIMIT:
+            yield tuple(rows)
+            rows, size = [], 0
+    if rows:
+        yield tuple(rows)
 
 
 class SnapshotLoader:
@@ -105,7 +107,7 @@
         retired_until: int | None = None,
     ) -> None:
         """Raises SnapshotFault where the header's hash is not that of its content."""
-        if not is_sound(header.entry):
+        if not has_valid_hash(header.entry):
             raise SnapshotFault(f"revision {header.head.number}: the hash is not that of its content")
         self.header = header
         self._tenants = TenantTableBuilder(
@@ -113,17 +115,17 @@
         )
         self._routes = RouteTableBuilder()
         self._digest = limits_digest(header.limits)
-        self._next = 0
+        self._next_part_index = 0
         self._tables: Tables | None = None
 
     @property
-    def wants(self) -> int:
+    def next_part_index(self) -> int:
         """The index of the part that comes next; as many as there are parts where all came."""
-        return self._next
+        return self._next_part_index
 
     @property
     def complete(self) -> bool:
-        return self._next == self.header.parts
+        return self._next_part_index == self.header.parts
 
     @property
     def tables(self) -> Tables:
@@ -132,22 +134,26 @@
             raise RuntimeError("the snapshot is not loaded yet")
         return self._tables
 
-    def take(self, part: SnapshotPart) -> Iterator[None]:
+    def load_part(self, part: SnapshotPart) -> Iterator[None]:
         """The next part, a step at a time. Raises SnapshotFault."""
-        if part.hash != self.header.entry.hash or part.index != self._next or self.complete:
-            raise SnapshotFault(f"expected part {self._next} of revision {self.header.head.number}")
-        self._next += 1
+        if part.hash != self.header.entry.hash or part.index != self._next_part_index or self.complete:
+            raise SnapshotFault(
+                f"expected part {self._next_part_index} of revision {self.header.head.number}"
+            )
+        self._next_part_index += 1
         for first in range(0, len(part.tenants), ENTRIES_PER_STEP):
-            self._take_tenants(part.tenants[first : first + ENTRIES_PER_STEP])
+            self._load_tenants(part.tenants[first : first + ENTRIES_PER_STEP])
             yield
         for first in range(0, len(part.routes), ENTRIES_PER_STEP):
-            self._take_routes(part.routes[first : first + ENTRIES_PER_STEP])
+            self._load_routes(part.routes[first : first + ENTRIES_PER_STEP])
             yield
 
     def finish(self) -> Iterator[None]:
         """After the last part, a step at a time; `tables` is there behind it. Raises SnapshotFault."""
         if not self.complete:
-            raise SnapshotFault(f"expected part {self._next} of revision {self.header.head.number}")
+            raise SnapshotFault(
+                f"expected part {self._next_part_index} of revision {self.header.head.number}"
+            )
         yield from self._tenants.build_steps()
         tenants, routes = self._tenants.table, self._routes.build()
         counts = len(tenants), len(routes)
@@ -155,7 +161,7 @@
             raise SnapshotFault(f"revision {self.header.head.number}: the digest is not that of the tables")
         self._tables = Tables(tenants, routes, self.header.limits, self._digest)
 
-    def _take_tenants(self, tenants: tuple[tuple[str, float], ...]) -> None:
+    def _load_tenants(self, tenants: tuple[tuple[str, float], ...]) -> None:
         try:
             for name, quota in tenants:
                 self._tenants.add(name, quota)
@@ -163,7 +169,7 @@
         except TenantFault as fault:
             raise SnapshotFault(str(fault)) from None
 
-    def _take_routes(self, routes: tuple[tuple[str, str], ...]) -> None:
+    def _load_routes(self, routes: tuple[tuple[str, str], ...]) -> None:
         limits = self.header.limits
         try:
             for prefix, class_name in routes:
@@ -176,13 +182,13 @@
             raise SnapshotFault(str(fault)) from None
 
 
-def loaded(
+def load_snapshot(
     snapshot: Snapshot, previous: Tables | None = None, *, now: int = 0, retired_until: int | None = None
 ) -> Tables:
     """All steps at once. Raises SnapshotFault."""
     loader = SnapshotLoader(snapshot.header, previous, now=now, retired_until=retired_until)
     for part in snapshot.parts:
-        for _ in loader.take(part):
+        for _ in loader.load_part(part):
             pass
     for _ in loader.finish():
         pass
--- a/tests/test_configuration_revisions.py
+++ b/tests/test_configuration_revisions.py
@@ -24,8 +24,8 @@
     Head,
     NotInLog,
     StaleToken,
-    entry_of,
     first_entry,
+    make_entry,
 )
 from limeridge.configuration.changes import (
     Change,
@@ -39,17 +39,17 @@
 from limeridge.configuration.checks import Refused, check_draft, redundant_routes
 from limeridge.configuration.encoding import MAGIC, VERSION, BadMessage, decode, encode, encode_entries
 from limeridge.configuration.histories import play
-from limeridge.configuration.snapshot import SnapshotFault, loaded, snapshot_of
+from limeridge.configuration.snapshot import SnapshotFault, load_snapshot, make_snapshot
 from limeridge.configuration.subscriber import (
     Apply,
-    AskDeltas,
-    AskSnapshot,
     Deltas,
     Ignore,
     Load,
+    Reason,
+    RequestDeltas,
+    RequestSnapshot,
     Subscriber,
-    Why,
-    deltas_of,
+    make_deltas,
 )
 from limeridge.configuration.tables import ClassLimits, Tables, TablesEditor, canonical_bytes
 
@@ -184,12 +184,12 @@
 def test_the_same_change_id_counts_once() -> None:
     chain = new_chain(draft(PutTenant("a", 1)))
     receipt = chain.accept(draft(PutTenant("a", 1)), FIRST, 99)
-    assert (receipt.number, receipt.hash, receipt.again) == (2, chain.head.hash, True)
+    assert (receipt.number, receipt.hash, receipt.repeated) == (2, chain.head.hash, True)
     with pytest.raises(ChangeIdReused, match="'c' stands for other changes"):
         chain.accept(draft(PutTenant("a", 2)), FIRST, 99)
     chain.compact(0)
     assert chain.accept(draft(PutTenant("a", 1)), FIRST, 99) == receipt
-    taken_over = Chain(chain.base, chain.tables, chain.remembered())
+    taken_over = Chain(chain.base, chain.tables, chain.change_id_records())
     taken_over.take_over(SECOND, 5)
     assert taken_over.accept(draft(PutTenant("a", 1)), SECOND, 5) == receipt
 
@@ -198,7 +198,7 @@
     chain = new_chain()
     for number, time in enumerate((1_000, 5, -7)):
         chain.accept(draft(PutTenant("a", number), change_id=str(number)), FIRST, time)
-    assert [chain.entry(number).revision.time for number in (2, 3, 4)] == [1_000, 5, -7]
+    assert [chain.entry(number).revision.unix_time_us for number in (2, 3, 4)] == [1_000, 5, -7]
     other = new_chain()
     other.replicate([chain.entry(number) for number in (2, 3, 4)], FIRST)
     assert other.head == chain.head
@@ -231,7 +231,7 @@
     assert as_bytes(chain.tables) == tables
     chain.accept(draft(PutTenant("missing", 1), change_id="e"), FIRST, 0)
     again = chain.accept(late, FIRST, 0)  # doubled on its way: it would fit now
-    assert (again.refused, again.again, again.number) == (True, True, receipt.number)
+    assert (again.refused, again.repeated, again.number) == (True, True, receipt.number)
     other = new_chain(draft(PutTenant("a", 1)))
     other.replicate([chain.entry(3), chain.entry(4)], FIRST)
     assert other.head == chain.head and other.accept(late, FIRST, 0) == again
@@ -272,16 +272,16 @@
     chain.accept(draft(PutTenant("a", 1)), FIRST, 0)
     entry = chain.last
     altered = [
-        replace(entry, revision=replace(entry.revision, time=1)),
+        replace(entry, revision=replace(entry.revision, unix_time_us=1)),
         replace(entry, digest=entry.digest + 1),
         replace(entry, previous=bytes(16)),
     ]
     for each in altered:
         with pytest.raises(BrokenLink):
             other.replicate([each], FIRST)
-    wrong_tables = entry_of(entry.previous, entry.revision, entry.digest + 1)
+    wrong_tables = make_entry(entry.previous, entry.revision, entry.digest + 1)
     removed = replace(entry.revision, draft=draft(RemoveTenant("missing")))
-    for each in (wrong_tables, entry_of(entry.previous, removed, entry.digest)):
+    for each in (wrong_tables, make_entry(entry.previous, removed, entry.digest)):
         with pytest.raises(BrokenLink):
             other.replicate([each], FIRST)
     assert other.head == chain.entry(1).head
@@ -293,18 +293,18 @@
     chain = new_chain(*some_drafts(10))
     chain.accept(draft(PutTenant("a", 1)), FIRST, 0)
     head = chain.entry(5).head
-    following = chain.after(head, 3)
+    following = chain.entries_after(head, 3)
     assert following is not None and [entry.revision.number for entry in following] == [6, 7, 8]
-    everything = chain.after(head, 100)
+    everything = chain.entries_after(head, 100)
     assert (
         everything is not None and everything[-1].revision.number == chain.committed == chain.head.number - 1
     )
-    assert chain.after(Head(5, bytes(16), FIRST), 3) is None
-    assert chain.after(chain.entry(chain.committed).head, 3) == ()  # the last is not committed
-    assert chain.after(chain.head, 3) == ()
+    assert chain.entries_after(Head(5, bytes(16), FIRST), 3) is None
+    assert chain.entries_after(chain.entry(chain.committed).head, 3) == ()  # the last is not committed
+    assert chain.entries_after(chain.head, 3) == ()
     chain.compact(3)
-    assert chain.after(head, 3) is None
-    assert chain.after(chain.base.head, 100) == tuple(everything[-3:])
+    assert chain.entries_after(head, 3) is None
+    assert chain.entries_after(chain.base.head, 100) == tuple(everything[-3:])
 
 
 @settings(max_examples=60, derandomize=True, deadline=None)
@@ -313,9 +313,9 @@
     chain = new_chain(*some_drafts(12, data.draw(st.integers(0, 5))))
     start = data.draw(st.integers(0, chain.head.number))
     wanted, tables = as_bytes(chain.tables), chain.tables_at(start)
-    snapshot = snapshot_of(chain.entry(start), tables)
-    older = loaded(snapshot_of(chain.base, chain.tables_at(0))) if data.draw(st.booleans()) else None
-    tables = loaded(snapshot, older, now=5)
+    snapshot = make_snapshot(chain.entry(start), tables)
+    older = load_snapshot(make_snapshot(chain.base, chain.tables_at(0))) if data.draw(st.booleans()) else None
+    tables = load_snapshot(snapshot, older, now=5)
     while start < chain.head.number:
         size = data.draw(st.integers(1, chain.head.number - start))
         editor = TablesEditor(tables, now=5)
@@ -326,7 +326,7 @@
         assert tables.digest == chain.entry(start).digest
     assert as_bytes(tables) == wanted
     chain.compact(data.draw(st.integers(0, 12)))
-    assert snapshot_of(chain.last, chain.tables) == snapshot_of(chain.last, tables)
+    assert make_snapshot(chain.last, chain.tables) == make_snapshot(chain.last, tables)
     assert as_bytes(chain.tables_at(chain.base.revision.number)) is not None
 
 
@@ -335,7 +335,7 @@
 
 def test_a_snapshot_that_is_not_the_chains_is_not_loaded() -> None:
     chain = new_chain(*some_drafts(20))
-    snapshot = snapshot_of(chain.last, chain.tables)
+    snapshot = make_snapshot(chain.last, chain.tables)
     part = snapshot.parts[0]
     for bad in (
         replace(snapshot, parts=()),
@@ -354,16 +354,16 @@
         ),
     ):
         with pytest.raises(SnapshotFault):
-            loaded(bad)
-    assert as_bytes(loaded(snapshot)) == as_bytes(chain.tables)
+            load_snapshot(bad)
+    assert as_bytes(load_snapshot(snapshot)) == as_bytes(chain.tables)
 
 
 def test_a_loaded_snapshot_keeps_the_numbers_of_tenants() -> None:
     chain = new_chain(draft(PutTenant("b", 1), PutTenant("c", 1)))
-    before = loaded(snapshot_of(chain.last, chain.tables))
+    before = load_snapshot(make_snapshot(chain.last, chain.tables))
     numbers = {name: before.tenants.find(name) for name in ("b", "c")}
     chain.accept(draft(PutTenant("a", 1), RemoveTenant("b"), change_id="d"), FIRST, 0)
-    after = loaded(snapshot_of(chain.last, chain.tables), before, now=10, retired_until=20)
+    after = load_snapshot(make_snapshot(chain.last, chain.tables), before, now=10, retired_until=20)
     assert after.tenants.find("c") == numbers["c"] and after.tenants.find("a") not in numbers.values()
     assert after.tenants.find("b") is None and after.tenants.name(numbers["b"] or 0) == "b"
 
@@ -372,37 +372,37 @@
 
 
 def follower(chain: Chain, number: int) -> Subscriber:
-    tables = loaded(snapshot_of(chain.entry(number), chain.tables_at(number)))
+    tables = load_snapshot(make_snapshot(chain.entry(number), chain.tables_at(number)))
     return Subscriber(tables, chain.entry(number).head, random.Random(1))
 
 
 def entries(chain: Chain, first: int, last: int) -> Deltas:
-    return deltas_of([chain.entry(number) for number in range(first, last + 1)])
+    return make_deltas([chain.entry(number) for number in range(first, last + 1)])
 
 
 def test_a_subscriber_applies_what_follows_and_ignores_what_it_has() -> None:
     chain = new_chain(*some_drafts(6))
     subscriber = follower(chain, 2)
-    decision = subscriber.hears_deltas(entries(chain, 1, 4), 0)  # overlapping
+    decision = subscriber.receive_deltas(entries(chain, 1, 4), 0)  # overlapping
     assert isinstance(decision, Apply) and decision.head == chain.entry(4).head == subscriber.head
     assert as_bytes(subscriber.tables) == as_bytes(chain.tables_at(4))
-    assert subscriber.hears_deltas(entries(chain, 3, 4), 0) == Ignore(Why.OLD)
-    assert subscriber.hears_head(chain.entry(3).head, 0) == Ignore(Why.OLD)
+    assert subscriber.receive_deltas(entries(chain, 3, 4), 0) == Ignore(Reason.OLD)
+    assert subscriber.receive_head(chain.entry(3).head, 0) == Ignore(Reason.OLD)
 
 
 def test_deltas_are_applied_in_steps_and_nothing_crosses_them() -> None:
     many = draft(*(PutTenant(f"many-{number}", 1.0) for number in range(50)), change_id="many")
     chain = new_chain(many, draft(change_id="empty"))
     subscriber = follower(chain, 1)
-    steps = subscriber.deltas_in_steps(entries(chain, 2, 3), 0)
+    steps = subscriber.receive_deltas_in_steps(entries(chain, 2, 3), 0)
     next(steps)
-    assert subscriber.hears_deltas(entries(chain, 2, 3), 0) == Ignore(Why.LOADING)
-    assert subscriber.hears_head(chain.head, 0) == Ignore(Why.LOADING)
-    header = snapshot_of(chain.last, chain.tables).header
-    assert subscriber.hears_snapshot(header, 0) == subscriber.tick(0) == Ignore(Why.LOADING)
+    assert subscriber.receive_deltas(entries(chain, 2, 3), 0) == Ignore(Reason.LOADING)
+    assert subscriber.receive_head(chain.head, 0) == Ignore(Reason.LOADING)
+    header = make_snapshot(chain.last, chain.tables).header
+    assert subscriber.receive_snapshot(header, 0) == subscriber.tick(0) == Ignore(Reason.LOADING)
     steps.close()  # given up: as if nothing had come
     assert (subscriber.head, len(subscriber.tables.tenants)) == (chain.entry(1).head, 0)
-    steps = subscriber.deltas_in_steps(entries(chain, 2, 3), 0)
+    steps = subscriber.receive_deltas_in_steps(entries(chain, 2, 3), 0)
     assert [next(steps) for _ in range(3)] == [None] * 3  # 20, 20 and 10 changes
     assert (subscriber.head, len(subscriber.tables.tenants)) == (chain.entry(1).head, 0)
     with pytest.raises(StopIteration) as done:
@@ -415,12 +415,12 @@
     chain = new_chain(*some_drafts(6))
     subscriber = follower(chain, 2)
     head = chain.entry(2).head
-    assert subscriber.hears_deltas(entries(chain, 4, 5), 0) == AskDeltas(head, Why.GAP)
-    assert subscriber.hears_deltas(entries(chain, 5, 6), 1) == Ignore(Why.ASKED)
-    assert subscriber.tick(400_000) == Ignore(Why.ASKED)
-    assert subscriber.tick(1_000_000) == AskDeltas(head, Why.NO_ANSWER)
-    assert isinstance(subscriber.hears_deltas(entries(chain, 3, 7), 1_100_000), Apply)
-    assert subscriber.tick(9_000_000) == Ignore(Why.OLD)
+    assert subscriber.receive_deltas(entries(chain, 4, 5), 0) == RequestDeltas(head, Reason.GAP)
+    assert subscriber.receive_deltas(entries(chain, 5, 6), 1) == Ignore(Reason.ALREADY_REQUESTED)
+    assert subscriber.tick(400_000) == Ignore(Reason.ALREADY_REQUESTED)
+    assert subscriber.tick(1_000_000) == RequestDeltas(head, Reason.NO_ANSWER)
+    assert isinstance(subscriber.receive_deltas(entries(chain, 3, 7), 1_100_000), Apply)
+    assert subscriber.tick(9_000_000) == Ignore(Reason.OLD)
 
 
 def test_a_wrong_hash_or_an_older_chain_asks_for_a_snapshot_and_changes_nothing() -> None:
@@ -434,55 +434,57 @@
         ),
     ):
         subscriber = follower(chain, 2)
-        assert subscriber.hears_deltas(bad, 0) == AskSnapshot(Why.WRONG_HASH)
+        assert subscriber.receive_deltas(bad, 0) == RequestSnapshot(Reason.HASH_MISMATCH)
         assert subscriber.head == chain.entry(2).head
         assert as_bytes(subscriber.tables) == as_bytes(chain.tables_at(2))
     subscriber = follower(chain, 2)
     older = replace(chain.entry(3).revision, token=FencingToken())
-    assert subscriber.hears_deltas(Deltas((older,), chain.entry(3).hash), 0) == AskSnapshot(Why.OLDER_CHAIN)
+    assert subscriber.receive_deltas(Deltas((older,), chain.entry(3).hash), 0) == RequestSnapshot(
+        Reason.OLDER_CHAIN
+    )
     other = new_chain(draft(PutTenant("other", 1)))
-    assert follower(chain, 2).hears_head(other.entry(2).head, 0) == AskSnapshot(Why.WRONG_HASH)
+    assert follower(chain, 2).receive_head(other.entry(2).head, 0) == RequestSnapshot(Reason.HASH_MISMATCH)
 
 
 def test_no_snapshot_takes_a_subscriber_back() -> None:
     chain = new_chain(*some_drafts(6))
     subscriber = follower(chain, 4)
     for number in (0, 3, 4):
-        header = snapshot_of(chain.entry(number), chain.tables_at(number)).header
-        assert isinstance(subscriber.hears_snapshot(header, 0), Ignore)
+        header = make_snapshot(chain.entry(number), chain.tables_at(number)).header
+        assert isinstance(subscriber.receive_snapshot(header, 0), Ignore)
     given_up = Chain(chain.base, Tables.empty(LIMITS))
     given_up.take_over(FencingToken(0, "given up"), 0)
     for number in range(9):
         given_up.accept(draft(change_id=str(number)), FencingToken(0, "given up"), 0)
-    header = snapshot_of(given_up.last, given_up.tables).header
+    header = make_snapshot(given_up.last, given_up.tables).header
     assert header.head.number > chain.head.number
-    assert subscriber.hears_snapshot(header, 0) == Ignore(Why.OLDER_CHAIN)
+    assert subscriber.receive_snapshot(header, 0) == Ignore(Reason.OLDER_CHAIN)
 
 
 def test_an_instance_that_serves_by_its_file_asks_for_a_snapshot_and_loads_it() -> None:
     chain = new_chain(*some_drafts(6))
     subscriber = Subscriber(Tables.empty(LIMITS), None, random.Random(1))
-    assert subscriber.hears_deltas(entries(chain, 3, 4), 0) == AskSnapshot(Why.NOTHING_YET)
-    snapshot = snapshot_of(chain.last, chain.tables)
+    assert subscriber.receive_deltas(entries(chain, 3, 4), 0) == RequestSnapshot(Reason.NO_REVISION)
+    snapshot = make_snapshot(chain.last, chain.tables)
     unsound = replace(snapshot.header, entry=replace(snapshot.header.entry, hash=bytes(16)))
-    assert subscriber.hears_snapshot(unsound, 9_000_000) == AskSnapshot(Why.NOT_LOADED)
-    decision = subscriber.hears_snapshot(snapshot.header, 1)
+    assert subscriber.receive_snapshot(unsound, 9_000_000) == RequestSnapshot(Reason.LOAD_FAILED)
+    decision = subscriber.receive_snapshot(snapshot.header, 1)
     assert isinstance(decision, Load)
-    assert subscriber.hears_deltas(entries(chain, 3, 4), 2) == Ignore(Why.LOADING)
-    assert subscriber.tick(29_000_000) == Ignore(Why.LOADING)
+    assert subscriber.receive_deltas(entries(chain, 3, 4), 2) == Ignore(Reason.LOADING)
+    assert subscriber.tick(29_000_000) == Ignore(Reason.LOADING)
     for part in snapshot.parts:
-        list(decision.loader.take(part))
+        list(decision.loader.load_part(part))
     list(decision.loader.finish())
-    assert isinstance(subscriber.loaded(), Apply)
+    assert isinstance(subscriber.snapshot_loaded(), Apply)
     assert subscriber.head == chain.head and as_bytes(subscriber.tables) == as_bytes(chain.tables)
 
 
 def test_a_snapshot_that_stops_coming_is_asked_for_again() -> None:
     chain = new_chain(*some_drafts(6))
     subscriber = Subscriber(Tables.empty(LIMITS), None, random.Random(1))
-    assert isinstance(subscriber.hears_snapshot(snapshot_of(chain.last, chain.tables).header, 0), Load)
-    assert subscriber.tick(30_000_000) == AskSnapshot(Why.NOT_LOADED)
-    assert (subscriber.head, subscriber.loaded()) == (None, Ignore(Why.OLD))
+    assert isinstance(subscriber.receive_snapshot(make_snapshot(chain.last, chain.tables).header, 0), Load)
+    assert subscriber.tick(30_000_000) == RequestSnapshot(Reason.LOAD_FAILED)
+    assert (subscriber.head, subscriber.snapshot_loaded()) == (None, Ignore(Reason.OLD))
 
 
 # bytes
@@ -490,9 +492,9 @@
 
 def test_messages_come_back_as_they_were_sent() -> None:
     chain = new_chain(*some_drafts(30))
-    snapshot = snapshot_of(chain.last, chain.tables)
-    asking = AskDeltas(chain.head, Why.GAP)
-    asked = asking, AskSnapshot(Why.GAP)
+    snapshot = make_snapshot(chain.last, chain.tables)
+    asking = RequestDeltas(chain.head, Reason.GAP)
+    asked = asking, RequestSnapshot(Reason.GAP)
     for message in (chain.head, chain.last, snapshot.header, *snapshot.parts, *asked, entries(chain, 1, 9)):
         assert decode(encode(message)) == message
     frames = list(encode_entries([chain.entry(number) for number in range(1, 32)]))
@@ -514,9 +516,9 @@
     subscriber = follower(chain, 0)
     for frame in frames:
         message = decode(frame)
-        assert isinstance(message, Deltas) and isinstance(subscriber.hears_deltas(message, 0), Apply)
+        assert isinstance(message, Deltas) and isinstance(subscriber.receive_deltas(message, 0), Apply)
     assert subscriber.head == chain.head
-    parts = snapshot_of(chain.last, chain.tables).parts
+    parts = make_snapshot(chain.last, chain.tables).parts
     assert max(len(encode(part)) for part in parts) < 200_000
 
 
@@ -541,7 +543,7 @@
     ):
         with pytest.raises(BadMessage, match=fault):
             decode(bad)
-    monkeypatch.setattr("limeridge.configuration.encoding.FRAME_MOST", 10)
+    monkeypatch.setattr("limeridge.configuration.encoding.MAX_FRAME_BYTES", 10)
     with pytest.raises(BadMessage):
         encode(new_chain().head)
 
@@ -590,7 +592,7 @@
 
 DEFECTS = {
     "the hash is not compared": Defect(
-        "subscriber", "made is None or made.head.hash != deltas.last_hash", "made is None"
+        "subscriber", "applied is None or applied.head.hash != deltas.last_hash", "applied is None"
     ),
     "an older snapshot is taken": Defect(
         "subscriber", "if header.head.number <= self.head.number:", "if False:"
@@ -612,7 +614,7 @@
         "tenants", "or self._retirements[0].until > self.now", ""
     ),
     "deltas up to the head": Defect(
-        "chain", "min(first + most, self.committed - self.base.revision.number)", "first + most"
+        "chain", "min(first + limit, self.committed - self.base.revision.number)", "first + limit"
     ),
     "a promise is not kept": Defect(
         "chain",
@@ -622,7 +624,7 @@
     "a change id counts each time": Defect("chain", "        if before is None:\n", "        if True:\n"),
     "uncommitted entries stay": Defect("chain", "self._truncate(number)\n", "continue\n"),
     "change ids of taken back entries stay": Defect(
-        "chain", "self._remembered.pop(entry.revision.draft.change_id, None)", "pass"
+        "chain", "self._change_id_records.pop(entry.revision.draft.change_id, None)", "pass"
     ),
     "compaction keeps the old base's tables": Defect(
         "chain", "self.base, self._base_tables = base, tables", "self.base = base"
