--- a/limeridge/configuration/chain.py
+++ b/limeridge/configuration/chain.py
@@ -1,13 +1,13 @@
-"""The chain of revisions: a log in which each one's hash covers the one before it and the tables after it.
+"""The chain of revisions: a log in which each hash covers the previous entry and the resulting tables.
 
-It owns the order of revisions, what a hash covers, that a change id counts once, and compaction. It must
-never accept under a token older than one that was promised, never give out a revision that is not committed,
-and never take back one that is. Unix time is told in each revision and compared nowhere. It does not know how
-revisions get from one publisher to another, nor when a majority has one.
+This module defines the order of revisions, the content of a hash, deduplication by change id, and compaction.
+Nothing is accepted under a token older than one that was promised, only committed revisions are given to
+subscribers, and a committed revision is never taken back. Unix time is recorded in each revision and compared
+nowhere. Replication between publishers, and deciding when a majority has a revision, are up to the caller.
 
-A publisher that takes over has a majority promise its token, takes the chain of the greatest rank among them,
+A publisher that takes over has a majority promise its token, adopts the chain of the highest rank among them,
 and first appends a revision without changes under its own token, as a new leader in Raft does (Ongaro and
-Ousterhout 2014). Once a majority has that, all up to it is committed.
+Ousterhout 2014). Once a majority has that revision, all revisions up to it are committed.
 """
 
 from __future__ import annotations
@@ -29,35 +29,38 @@
 
 HASH_BYTES = 16
 NO_HASH = bytes(HASH_BYTES)
-MAX_REMEMBERED_IDS = 100_000  # change ids; a week at 15,000 changes a day
+MAX_REMEMBERED_IDS = 100_000  # change ids of a week at 15,000 changes a day
 
-# Publishers have no requests open: what they remove is forgotten with the next change.
+# Publishers have no open requests, so a removed tenant is dropped with the next change.
 PUBLISHER_NOW, PUBLISHER_RETIRED_UNTIL = 2, 1
 
 
 class ChainFault(Exception):
-    """What was asked for does not fit the chain."""
+    """The operation is not valid for the current state of the chain."""
 
 
 class StaleToken(ChainFault):
-    """A newer holder of the duty has written, or the token is not above the last one's at a take-over."""
+    """A newer token is in use, or the token of a take-over is not newer than that of the last revision."""
 
 
 class ChangeIdReused(ChainFault):
-    """The change id stands for another draft."""
+    """The change id was already used for a different draft."""
 
 
 class BrokenLink(ChainFault):
-    """A revision does not follow the one before it, or its hash is not that of its content."""
+    """A revision does not follow the previous one, or its hash does not match its content."""
 
 
 class NotInLog(ChainFault):
-    """The revision is not in the log: compacted, not there yet, or of another chain."""
+    """The revision is not in the log: compacted, not yet present, or of another chain."""
 
 
 @dataclass(slots=True, frozen=True, order=True)
 class FencingToken:
-    """Of the duty to accept changes; greater is newer. As `duty.ballots.Token`, without its library."""
+    """The fencing token of the right to accept changes; a greater one is newer.
+
+    It has the fields of `duty.ballots.Token`, without a dependency on msgspec.
+    """
 
     number: int = 0
     holder: str = ""
@@ -66,7 +69,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Head:
-    """A place in a chain: revision, the hash of the chain up to it, and the token that wrote it."""
+    """A position in a chain: revision number, the hash of the chain up to it, and the token it has."""
 
     number: int
     hash: bytes
@@ -74,29 +77,29 @@
 
     @property
     def rank(self) -> tuple[FencingToken, int]:
-        """Of two chains' heads the greater one has all that was committed."""
+        """Sort key: of two heads, the chain of the one with the greater rank has all committed revisions."""
         return self.token, self.number
 
 
 @dataclass(slots=True, frozen=True)
 class Revision:
-    """One step of the chain. Its draft has no changes where a publisher took over."""
+    """One revision of the chain. Its draft has no changes if it marks a take-over."""
 
     number: int
     token: FencingToken
-    unix_time_us: int  # Unix time in microseconds as the publisher's clock had it; it may step back
+    unix_time_us: int  # by the publisher's clock, which may step back
     draft: Draft
-    refused: bool = False  # did not fit the tables before it
+    refused: bool = False  # the draft could not be applied to the previous tables
 
     @property
     def changes(self) -> tuple[Change, ...]:
-        """What it does to the tables."""
+        """The changes that are applied to the tables; none if the draft was refused."""
         return () if self.refused else self.draft.changes
 
 
 @dataclass(slots=True, frozen=True)
 class Entry:
-    """A revision in the log: `previous` and `hash` link it, `digest` is that of the tables after it."""
+    """A revision in the log, linked by `previous` and `hash`; `digest` covers the tables after it."""
 
     revision: Revision
     previous: bytes
@@ -110,7 +113,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Receipt:
-    """The answer to an author, good once the revision is committed.
+    """The answer to an author, valid once the revision is committed.
 
     `repeated` is set if the change id was decided before. `refused` is set if the draft does not fit the
     tables; `faults` has the reasons, in the first receipt only.
@@ -125,7 +128,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ChangeIdRecord:
-    """What a change id stands for."""
+    """The revision of a change id, and the fingerprint of its draft."""
 
     number: int
     hash: bytes
@@ -134,6 +137,7 @@
 
 
 def revision_hash(previous: bytes, revision: Revision, digest: int) -> bytes:
+    """Returns the hash of a revision that follows an entry with the hash `previous`."""
     token = revision.token
     covered = encode_fields(
         previous,
@@ -154,31 +158,31 @@
 
 
 def has_valid_hash(entry: Entry) -> bool:
-    """Whether the entry's hash is that of its content."""
+    """Returns whether the hash of an entry matches its content."""
     return entry.hash == revision_hash(entry.previous, entry.revision, entry.digest)
 
 
 def first_entry(tables: Tables, unix_time_us: int) -> Entry:
-    """Revision 0: the tables that a chain begins with."""
+    """Returns revision 0, with the initial tables of a chain. The texts of its draft are hashed."""
     draft = Draft("first", "publisher", "the tables that the chain begins with", ())
     return make_entry(NO_HASH, Revision(0, FencingToken(), unix_time_us, draft), tables.digest)
 
 
 class Chain:
-    """One publisher's log: a base with its tables, the entries after it, and which of them are committed."""
+    """The log of one publisher: a base with its tables, the entries after it, and the commit index."""
 
     def __init__(
         self, base: Entry, tables: Tables, change_id_records: Iterable[tuple[str, ChangeIdRecord]] = ()
     ) -> None:
         """Starts from a committed `base` and the change ids of an earlier log. Raises BrokenLink."""
         if not has_valid_hash(base) or base.digest != tables.digest:
-            raise BrokenLink(f"revision {base.revision.number} does not have these tables")
+            raise BrokenLink(f"base revision {base.revision.number} does not match its hash or its tables")
         self.base = base
         self._base_tables = tables
         self._entries: list[Entry] = []
         self.tables = tables  # after the last entry, committed or not
         self.committed = base.revision.number
-        self.promised = base.revision.token  # nothing under an older one is taken
+        self.promised = base.revision.token  # older tokens are rejected
         self._change_id_records = dict(change_id_records)
 
     @property
@@ -194,11 +198,11 @@
         return self.entry(self.committed).head
 
     def change_id_records(self) -> tuple[tuple[str, ChangeIdRecord], ...]:
-        """Change ids, oldest first, for the log of another publisher."""
+        """Returns the known change ids, oldest first, to initialize the log of another publisher."""
         return tuple(self._change_id_records.items())
 
     def receipt(self, draft: Draft) -> Receipt | None:
-        """The answer where the change id was accepted before. Raises ChangeIdReused."""
+        """Returns the earlier receipt of a change id, or None if it is new. Raises ChangeIdReused."""
         before = self._change_id_records.get(draft.change_id)
         if before is None:
             return None
@@ -207,10 +211,10 @@
         return Receipt(before.number, before.hash, repeated=True, refused=before.refused)
 
     def accept(self, draft: Draft, token: FencingToken, unix_time_us: int) -> Receipt:
-        """Append a draft, or that it is refused; either counts once it is committed.
+        """Appends a draft, marked as refused if it does not fit the tables; valid once it is committed.
 
-        Raises ChainFault, and Refused for a draft that no tables could take. What does not fit these tables
-        is appended too, for the same asking may be on its way to another holder, or come late to this one.
+        Raises ChainFault, and Refused for a malformed draft. A draft that does not fit the current tables is
+        appended too, because a copy of the same submission may reach another holder, or this one later.
         """
         if token != self.head.token or token < self.promised:
             raise StaleToken(f"revision {self.head.number} was written under another token")
@@ -227,25 +231,26 @@
         return Receipt(revision.number, entry.hash, refused=revision.refused, faults=faults)
 
     def take_over(self, token: FencingToken, unix_time_us: int) -> Entry:
-        """Append the revision without changes that a new holder begins with. Raises StaleToken."""
+        """Appends the revision without changes that a new holder starts with. Raises StaleToken."""
         if token <= self.head.token or token < self.promised:
             raise StaleToken(f"revision {self.head.number} was written under a token that is not older")
         number = self.head.number + 1
+        # The texts of the draft are part of the hash.
         draft = Draft(
             f"take-over-{number}-{token.number}", token.holder, "takes over the duty to publish", ()
         )
         return self._append_revision(Revision(number, token, unix_time_us, draft))
 
     def promise(self, token: FencingToken) -> None:
-        """Take nothing under an older token from now on. Raises StaleToken where a newer one is promised."""
+        """Rejects older tokens from now on. Raises StaleToken if a newer one is already promised."""
         if token < self.promised:
             raise StaleToken("a newer token is promised")
         self.promised = token
 
     def replicate(self, entries: Sequence[Entry], token: FencingToken) -> None:
-        """Take the entries of the publisher that holds this token, in the place of uncommitted ones.
+        """Appends entries of the publisher that holds this token, replacing conflicting uncommitted ones.
 
-        Raises StaleToken where a newer token is promised, BrokenLink where the entries do not follow.
+        Raises StaleToken if a newer token is promised, and BrokenLink if the entries do not follow the log.
         """
         self.promise(token)
         for entry in entries:
@@ -265,28 +270,29 @@
             try:
                 tables = replay(self.tables, [entry.revision])
             except InapplicableChange as fault:
-                raise BrokenLink(f"revision {number} does not fit: {fault}") from None
+                raise BrokenLink(f"revision {number} can't be applied: {fault}") from None
             if tables.digest != entry.digest:
-                raise BrokenLink(f"revision {number} gives other tables here")
+                raise BrokenLink(f"digest of the tables after revision {number} does not match")
             self._append_entry(entry, tables)
 
     def commit(self, number: int) -> None:
-        """A majority has all up to this revision. Raises NotInLog beyond the head; never goes back."""
+        """Marks revisions up to this one as committed; never goes back. Raises NotInLog beyond the head."""
         if number > self.head.number:
             raise NotInLog(f"revision {number} is beyond the head, {self.head.number}")
         self.committed = max(self.committed, number)
 
     def entry(self, number: int) -> Entry:
-        """Raises NotInLog."""
+        """Returns the entry of a revision, the base included. Raises NotInLog."""
         index = number - self.base.revision.number
         if not 0 <= index <= len(self._entries):
             raise NotInLog(f"revision {number} is not in the log")
         return self._entries[index - 1] if index else self.base
 
     def entries_after(self, head: Head, limit: int) -> tuple[Entry, ...] | None:
-        """Committed entries behind a subscriber's head, at most so many; None where only a snapshot helps.
+        """Returns at most `limit` committed entries after a subscriber's head.
 
-        Empty where the subscriber has all that is committed as far as this publisher knows.
+        None means that the subscriber needs a snapshot. The result is empty if the subscriber has all that is
+        committed as far as this publisher knows.
         """
         try:
             known = self.entry(head.number)
@@ -298,7 +304,7 @@
         return tuple(self._entries[first : min(first + limit, self.committed - self.base.revision.number)])
 
     def tables_at(self, number: int) -> Tables:
-        """The tables by a revision of the log. Raises NotInLog."""
+        """Returns the tables as of a revision of the log. Raises NotInLog."""
         self.entry(number)
         if number == self.head.number:
             return self.tables
@@ -306,7 +312,7 @@
         return replay(self._base_tables, [entry.revision for entry in entries])
 
     def compact(self, keep: int) -> None:
-        """Forget all but the last `keep` committed entries; the base moves up to what was before them."""
+        """Discards all but the last `keep` committed entries; the entry before them becomes the base."""
         number = self.committed - keep
         if number <= self.base.revision.number:
             return
@@ -331,7 +337,7 @@
             del self._change_id_records[next(iter(self._change_id_records))]
 
     def _truncate(self, number: int) -> None:
-        """Take back this uncommitted revision and all behind it."""
+        """Removes this uncommitted revision and all after it."""
         if number <= self.committed:
             raise BrokenLink(f"revision {number} is committed with another hash")
         tables = self.tables_at(number - 1)
@@ -343,7 +349,7 @@
 
 
 def replay(tables: Tables, revisions: Iterable[Revision]) -> Tables:
-    """The tables after all revisions, built once. Raises InapplicableChange."""
+    """Applies all revisions and builds the tables once. Raises InapplicableChange."""
     editor = TablesEditor(tables, now=PUBLISHER_NOW, retired_until=PUBLISHER_RETIRED_UNTIL)
     for revision in revisions:
         editor.apply(revision.changes)
--- a/limeridge/configuration/encoding.py
+++ b/limeridge/configuration/encoding.py
@@ -1,8 +1,8 @@
-"""The bytes of what publishers and subscribers tell each other: MessagePack, compressed, bounded, versioned.
+"""Wire format of messages between publishers and subscribers: compressed MessagePack, bounded and versioned.
 
-It owns the frame (magic, version, zstd) and the shape of each message on the wire. It must never hand on what
-is too large, of another version or of another shape: `decode` raises BadMessage, and nothing else, for any
-bytes. Whether a message fits the chain is not judged here. Of this package it alone needs msgspec and
+This module defines the frame (magic, version, zstd) and the schema of each message. `decode` rejects what is
+too large, of another version or of another schema: it raises BadMessage, and nothing else, for any bytes.
+Whether a message fits the chain is not checked here. No other module of this package needs msgspec or
 zstandard.
 """
 
@@ -55,11 +55,11 @@
 
 
 class BadMessage(Exception):
-    """The bytes are no message of this version, or go beyond a bound."""
+    """The bytes are not a message of this version, or exceed a bound."""
 
 
 class _WireStruct(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """A shape on the wire: an array, its fields in this order, behind a tag where there are several kinds."""
+    """Base of wire types: an array of the fields in order, after a tag if the type is in a union."""
 
 
 class WirePutTenant(_WireStruct, tag=1, frozen=True):
@@ -166,7 +166,7 @@
 
 
 def encode(message: Message) -> bytes:
-    """Raises BadMessage where the message can't be sent: too large, or with a text that is no Unicode."""
+    """Encodes a message. Raises BadMessage if it is too large or has a text that is not valid Unicode."""
     try:
         plain = _encoder.encode(_message_to_wire(message))
     except (UnicodeEncodeError, OverflowError) as error:
@@ -178,7 +178,7 @@
 
 
 def encode_entries(entries: Sequence[Entry]) -> Iterator[bytes]:
-    """Entries that follow each other as messages of deltas, each within the bounds."""
+    """Encodes consecutive entries as Deltas messages, each within the bounds."""
     batch: list[Entry] = []
     size = 0
     for entry in entries:
@@ -192,7 +192,7 @@
 
 
 def decode(frame: bytes) -> Message:
-    """Raises BadMessage."""
+    """Decodes a message. Raises BadMessage."""
     plain = _decompress(frame)
     try:
         return _message_from_wire(_decoder.decode(plain))
--- a/limeridge/configuration/snapshot.py
+++ b/limeridge/configuration/snapshot.py
@@ -1,8 +1,8 @@
-"""Snapshots: all that is in force by one revision, in parts that are sent, checked and loaded one by one.
+"""Snapshots: the content of one revision, in parts that are sent, checked and loaded one by one.
 
-It owns the cutting into parts and the loading. The header's hash covers the digest of the tables, and the
-digest all entries, so that a loaded snapshot is known to be the chain's. It must never give out tables that
-are not, and never do more than a small piece of work in one step.
+This module splits tables into parts and loads them in short steps. The hash in the header covers the digest
+of the tables, and the digest covers all entries, so a snapshot is verified against the chain before its
+tables are returned.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from limeridge.configuration.tenants import TenantFault, TenantTableBuilder
 
 MAX_PART_ENTRIES = 1_000
-PART_CHARACTER_LIMIT = 100_000  # of names or prefixes in a part
+PART_CHARACTER_LIMIT = 100_000  # of names or prefixes; a part ends with the entry that reaches it
 ENTRIES_PER_STEP = 50  # under a millisecond
 
 
@@ -34,12 +34,12 @@
 
 
 class SnapshotFault(Exception):
-    """A part is missing or not of this snapshot, or what came is not what the chain's hash covers."""
+    """A part is missing or not of this snapshot, or the content does not match the hash of the chain."""
 
 
 @dataclass(slots=True, frozen=True)
 class SnapshotHeader:
-    """The last entry that the snapshot has in it, the classes, and what follows."""
+    """The last entry that the snapshot includes, the classes, and the numbers of entries and parts."""
 
     entry: Entry
     limits: ClassLimits
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SnapshotPart:
-    """`index` counts the parts from 0; tenants with quotas, routes with the names of their classes."""
+    """One part, with its `index` from 0: tenants with quotas, and routes with the names of their classes."""
 
     hash: bytes
     index: int
@@ -69,7 +69,7 @@
 
 
 def make_snapshot(entry: Entry, tables: Tables) -> Snapshot:
-    """The same for the same tables, whatever they went through. Takes long where the tables are large."""
+    """Creates a snapshot that depends only on the content of the tables. Slow if the tables are large."""
     tenants, routes = sorted_tenants(tables), sorted_routes(tables)
     parts = [SnapshotPart(entry.hash, index, rows, ()) for index, rows in enumerate(_split(tenants))]
     parts += [
@@ -79,7 +79,7 @@
 
 
 def _split(entries: list[Row]) -> Iterator[tuple[Row, ...]]:
-    """Pieces in order, each of at most MAX_PART_ENTRIES entries or about PART_CHARACTER_LIMIT characters."""
+    """Splits entries, in order, by MAX_PART_ENTRIES and PART_CHARACTER_LIMIT."""
     rows: list[Row] = []
     size = 0
     for entry in entries:
@@ -93,7 +93,7 @@
 
 
 class SnapshotLoader:
-    """Builds the tables of one snapshot; tenants that `previous` has keep their numbers.
+    """Builds the tables of one snapshot; tenants of `previous` keep their numbers.
 
     `now` and `retired_until` are microseconds of the process' own clock, see TenantTableEditor.
     """
@@ -106,9 +106,9 @@
         now: int,
         retired_until: int | None = None,
     ) -> None:
-        """Raises SnapshotFault where the header's hash is not that of its content."""
+        """Raises SnapshotFault if the hash of the header does not match its content."""
         if not has_valid_hash(header.entry):
-            raise SnapshotFault(f"revision {header.head.number}: the hash is not that of its content")
+            raise SnapshotFault(f"revision {header.head.number}: hash does not match the content")
         self.header = header
         self._tenants = TenantTableBuilder(
             previous.tenants if previous else None, now=now, retired_until=retired_until
@@ -120,7 +120,7 @@
 
     @property
     def next_part_index(self) -> int:
-        """The index of the part that comes next; as many as there are parts where all came."""
+        """The index of the part that is expected next; equal to the number of parts when complete."""
         return self._next_part_index
 
     @property
@@ -129,13 +129,13 @@
 
     @property
     def tables(self) -> Tables:
-        """What was loaded. Raises RuntimeError before the last step."""
+        """The loaded tables. Raises RuntimeError before the last step."""
         if self._tables is None:
             raise RuntimeError("the snapshot is not loaded yet")
         return self._tables
 
     def load_part(self, part: SnapshotPart) -> Iterator[None]:
-        """The next part, a step at a time. Raises SnapshotFault."""
+        """Loads the next part incrementally. Raises SnapshotFault."""
         if part.hash != self.header.entry.hash or part.index != self._next_part_index or self.complete:
             raise SnapshotFault(
                 f"expected part {self._next_part_index} of revision {self.header.head.number}"
@@ -149,7 +149,7 @@
             yield
 
     def finish(self) -> Iterator[None]:
-        """After the last part, a step at a time; `tables` is there behind it. Raises SnapshotFault."""
+        """Builds and verifies the tables incrementally, after the last part. Raises SnapshotFault."""
         if not self.complete:
             raise SnapshotFault(
                 f"expected part {self._next_part_index} of revision {self.header.head.number}"
@@ -158,7 +158,9 @@
         tenants, routes = self._tenants.table, self._routes.build()
         counts = len(tenants), len(routes)
         if counts != (self.header.tenants, self.header.routes) or self._digest != self.header.entry.digest:
-            raise SnapshotFault(f"revision {self.header.head.number}: the digest is not that of the tables")
+            raise SnapshotFault(
+                f"revision {self.header.head.number}: counts or digest of tables do not match"
+            )
         self._tables = Tables(tenants, routes, self.header.limits, self._digest)
 
     def _load_tenants(self, tenants: tuple[tuple[str, float], ...]) -> None:
@@ -175,7 +177,7 @@
             for prefix, class_name in routes:
                 number = limits.find(class_name)
                 if number is None:
-                    raise SnapshotFault(f"the route {prefix!r} leads to a class that is not there")
+                    raise SnapshotFault(f"route {prefix!r} refers to unknown class {class_name!r}")
                 self._routes.add(prefix, number)
                 self._digest = (self._digest + route_digest(prefix, class_name)) & DIGEST_MASK
         except RouteFault as fault:
@@ -185,7 +187,7 @@
 def load_snapshot(
     snapshot: Snapshot, previous: Tables | None = None, *, now: int = 0, retired_until: int | None = None
 ) -> Tables:
-    """All steps at once. Raises SnapshotFault."""
+    """Loads a whole snapshot at once. Raises SnapshotFault."""
     loader = SnapshotLoader(snapshot.header, previous, now=now, retired_until=retired_until)
     for part in snapshot.parts:
         for _ in loader.load_part(part):
--- a/limeridge/configuration/subscriber.py
+++ b/limeridge/configuration/subscriber.py
@@ -1,9 +1,9 @@
-"""What an instance does with what it hears from a publisher: apply, ignore, ask for deltas or for a snapshot.
+"""How an instance handles messages of a publisher: apply, ignore, request deltas or request a snapshot.
 
-It owns the head of the chain by which the instance serves. It must never go back to an earlier revision,
-never apply a revision that does not follow its own, and never guess: where the hash that it computes is not
-the one that it was told, the tables made are thrown away. Times are whole microseconds of the process' own
-clock, and chance is handed in.
+A subscriber tracks the head of the chain that the instance serves. It never returns to an earlier revision
+and never applies a revision that does not follow its head; if the computed hash differs from the received
+one, the new tables are discarded. Times are whole microseconds of the process' own clock, and the random
+number generator is passed in.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Reason(StrEnum):
-    """Reasons of a decision, for logs and counters."""
+    """Reasons of a decision, for logs and counters. The values are sent in requests and must not change."""
 
     OLD = "old or doubled"
     OLDER_CHAIN = "from an older chain"
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Deltas:
-    """Revisions that follow each other; `last_hash` is the chain's after the last of them."""
+    """Consecutive revisions; `last_hash` is the hash of the chain after the last of them."""
 
     revisions: tuple[Revision, ...]
     last_hash: bytes
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Apply:
-    """Put these tables in force between two requests."""
+    """The instance must switch to these tables between two requests."""
 
     head: Head
     tables: Tables
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestDeltas:
-    """Ask the publisher for what follows this head; it answers with a snapshot where it can't."""
+    """Request the revisions after this head; the publisher sends a snapshot if it no longer has them."""
 
     after: Head
     reason: Reason
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Load:
-    """Take the parts of a snapshot into this loader, then call `snapshot_loaded` or `snapshot_failed`."""
+    """Pass the parts of the snapshot to this loader, then call `snapshot_loaded` or `snapshot_failed`."""
 
     loader: SnapshotLoader
 
@@ -91,19 +91,19 @@
 
     first_retry_us: int = 1_000_000
     max_retry_us: int = 4_000_000
-    load_timeout_us: int = 30_000_000  # that a snapshot may take from its header to its last part
-    retention_us: int = 3_600_000_000  # that a tenant which went keeps its number
+    load_timeout_us: int = 30_000_000  # from the header of a snapshot to its last part
+    retention_us: int = 3_600_000_000  # time that a removed tenant keeps its number
 
 
 def make_deltas(entries: Sequence[Entry]) -> Deltas:
-    """What a publisher sends of its log; at least one entry."""
+    """Creates the message for consecutive log entries, of which there must be at least one."""
     return Deltas(tuple(entry.revision for entry in entries), entries[-1].hash)
 
 
 class Subscriber:
-    """One instance's place in the chain, and the askings that are open.
+    """The position of one instance in the chain, and its open request.
 
-    Give its askings to whatever publisher the instance is subscribed to; it does not know which that is.
+    Requests go to the publisher that the instance is currently subscribed to; this class does not know which.
     """
 
     def __init__(
@@ -126,7 +126,7 @@
         self._unanswered_requests = 0
 
     def receive_head(self, head: Head, now: int) -> Decision:
-        """A publisher tells where it is."""
+        """Handles the head that a publisher announces."""
         if self._busy:
             return Ignore(Reason.LOADING)
         if self.head is None:
@@ -142,7 +142,7 @@
         return Ignore(Reason.OLD)
 
     def receive_deltas(self, deltas: Deltas, now: int) -> Decision:
-        """Revisions came, asked for or not. All at once, see `receive_deltas_in_steps`."""
+        """Handles revisions, requested or not, without interruption; see `receive_deltas_in_steps`."""
         steps = self.receive_deltas_in_steps(deltas, now)
         while True:
             try:
@@ -152,9 +152,10 @@
                 return decision
 
     def receive_deltas_in_steps(self, deltas: Deltas, now: int) -> Generator[None, None, Decision]:
-        """Revisions came; the decision is there behind the last step. Others are ignored meanwhile.
+        """Handles revisions incrementally and returns the decision after the last step.
 
-        A step makes CHANGES_PER_STEP changes at the most. Nothing has changed if it is closed before the end.
+        A step applies at most CHANGES_PER_STEP changes. Other messages are ignored until the end. Closing the
+        generator before the end leaves the subscriber unchanged.
         """
         if self._busy:
             return Ignore(Reason.LOADING)
@@ -179,7 +180,7 @@
         return self._put_in_force(applied)
 
     def receive_snapshot(self, header: SnapshotHeader, now: int) -> Decision:
-        """The beginning of a snapshot came."""
+        """Handles the header of a snapshot."""
         if self._busy:
             return Ignore(Reason.LOADING)
         if self.head is not None:
@@ -196,24 +197,24 @@
         return Load(self._loader)
 
     def snapshot_loaded(self) -> Decision:
-        """All parts are in and the loader's last step is done."""
+        """Must be called after the last step of the loader."""
         loader, self._loader = self._loader, None
         if loader is None:
             return Ignore(Reason.OLD)
         return self._put_in_force(Apply(loader.header.head, loader.tables))
 
     def snapshot_failed(self, now: int) -> Decision:
-        """The loader raised SnapshotFault, or the publisher went."""
+        """Must be called if the loader raised SnapshotFault or the connection to the publisher was lost."""
         self._loader = None
         return self._request(RequestSnapshot(Reason.LOAD_FAILED), now)
 
     def publisher_changed(self) -> None:
-        """What was asked of the last publisher will not be answered."""
+        """Forgets open requests and loading, because the previous publisher will not answer any more."""
         self._loader = None
         self._clear_request()
 
     def tick(self, now: int) -> Decision:
-        """To be called each few hundred milliseconds: askings without an answer are repeated."""
+        """Repeats requests without an answer; must be called every few hundred milliseconds."""
         if self._loader is not None:
             return self.snapshot_failed(now) if now >= self._load_deadline else Ignore(Reason.LOADING)
         if self._applying:
@@ -232,9 +233,9 @@
     def _apply_revisions(
         self, head: Head, revisions: Sequence[Revision], now: int
     ) -> Generator[None, None, Apply | None]:
-        """The tables after `revisions` and the hash that they come to; None where they can't be applied.
+        """Returns the tables after `revisions` with the resulting hash, or None if they can't be applied.
 
-        Whether they follow `head` without a hole is told by that hash alone.
+        Gaps between the revisions are not checked here; they make the hash differ.
         """
         editor = TablesEditor(self.tables, now=now, retired_until=now + self._times.retention_us)
         chain_hash = head.hash
@@ -259,7 +260,7 @@
         self._unanswered_requests = 0
 
     def _request(self, request: RequestDeltas | RequestSnapshot, now: int) -> Decision:
-        """Ask, unless the same is asked already; a snapshot is asked for over deltas."""
+        """Sends a request unless an open one covers it; a snapshot request replaces a deltas request."""
         is_covered = isinstance(self._open_request, RequestSnapshot) or isinstance(request, RequestDeltas)
         if self._open_request is not None and is_covered and now < self._retry_at:
             return Ignore(Reason.ALREADY_REQUESTED)
