--- a/limeridge/configuration/chain.py
+++ b/limeridge/configuration/chain.py
@@ -99,10 +99,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Entry:
-    """A revision in the log, linked by `previous` and `hash`; `digest` covers the tables after it."""
+    """A revision in the log, linked by `previous_hash` and `hash`; `digest` covers the tables after it."""
 
     revision: Revision
-    previous: bytes
+    previous_hash: bytes
     digest: int
     hash: bytes
 
@@ -136,11 +136,11 @@
     refused: bool
 
 
-def revision_hash(previous: bytes, revision: Revision, digest: int) -> bytes:
-    """Returns the hash of a revision that follows an entry with the hash `previous`."""
+def revision_hash(previous_hash: bytes, revision: Revision, digest: int) -> bytes:
+    """Returns the hash of a revision that follows an entry with the hash `previous_hash`."""
     token = revision.token
     covered = encode_fields(
-        previous,
+        previous_hash,
         b"%d" % revision.number,
         b"%d" % token.number,
         encode_text(token.holder),
@@ -153,13 +153,13 @@
     return blake2b(covered, digest_size=HASH_BYTES).digest()
 
 
-def make_entry(previous: bytes, revision: Revision, digest: int) -> Entry:
-    return Entry(revision, previous, digest, revision_hash(previous, revision, digest))
+def make_entry(previous_hash: bytes, revision: Revision, digest: int) -> Entry:
+    return Entry(revision, previous_hash, digest, revision_hash(previous_hash, revision, digest))
 
 
 def has_valid_hash(entry: Entry) -> bool:
     """Returns whether the hash of an entry matches its content."""
-    return entry.hash == revision_hash(entry.previous, entry.revision, entry.digest)
+    return entry.hash == revision_hash(entry.previous_hash, entry.revision, entry.digest)
 
 
 def first_entry(tables: Tables, unix_time_us: int) -> Entry:
@@ -260,7 +260,7 @@
                     continue
                 self._truncate(number)
             if (
-                entry.previous != self.head.hash
+                entry.previous_hash != self.head.hash
                 or number != self.head.number + 1
                 or not has_valid_hash(entry)
             ):
--- a/limeridge/configuration/compare.py
+++ b/limeridge/configuration/compare.py
@@ -39,7 +39,7 @@
 REPEATS = 3
 
 
-class Way(Protocol):
+class Layout(Protocol):
     """One way to hold entries: all `Any` here is the way's own table."""
 
     name: str
@@ -63,7 +63,7 @@
     build: float
 
 
-class DictOfTenants:
+class TenantDict:
     """A plain dict from name to number, a list of names and one of quotas."""
 
     name = "plain dict"
@@ -84,37 +84,41 @@
         return numbers, names, quotas
 
 
-class SortedTenants:
+class SortedTenantNames:
     """Names as sorted byte strings, found by bisection, with an array of numbers and one of quotas."""
 
     name = "sorted byte strings"
 
     def build(self, entries: list[str]) -> Any:
-        order = sorted((name.encode(), number) for number, name in enumerate(entries))
-        numbers = array("I", (number for _, number in order))
-        return [name for name, _ in order], numbers, array("d", (float(n % 50) for n in range(len(order))))
+        ordered = sorted((name.encode(), number) for number, name in enumerate(entries))
+        numbers = array("I", (number for _, number in ordered))
+        return (
+            [name for name, _ in ordered],
+            numbers,
+            array("d", (float(n % 50) for n in range(len(ordered)))),
+        )
 
     def find(self, table: Any) -> Callable[[str], int | None]:
         names, numbers, _ = table
 
         def find(name: str) -> int | None:
             encoded = name.encode()
-            place = bisect_left(names, encoded)
-            return numbers[place] if place < len(names) and names[place] == encoded else None
+            index = bisect_left(names, encoded)
+            return numbers[index] if index < len(names) and names[index] == encoded else None
 
         return find
 
     def change(self, table: Any, entry: str) -> Any:
         names, numbers, quotas = list(table[0]), table[1][:], table[2][:]
         encoded = entry.encode()
-        place = bisect_left(names, encoded)
-        names.insert(place, encoded)
-        numbers.insert(place, len(quotas))
+        index = bisect_left(names, encoded)
+        names.insert(index, encoded)
+        numbers.insert(index, len(quotas))
         quotas.append(1.0)
         return names, numbers, quotas
 
 
-class IndexedTenants:
+class TenantPages:
     """TenantTable: pages and an open-addressing index in shards."""
 
     name = "pages with a hash index (taken)"
@@ -131,7 +135,7 @@
         return editor.build()
 
 
-class DictOfRoutes:
+class RouteDict:
     """A plain dict from prefix to class; a path is cut shorter until it is there."""
 
     name = "plain dict"
@@ -154,7 +158,7 @@
         return {**table, entry: 1}
 
 
-class TreeOfRoutes:
+class RouteRadixTree:
     """A radix tree over elements: a dict of children in each node, its class under the empty text."""
 
     name = "radix tree of elements"
@@ -170,13 +174,13 @@
 
     def find(self, table: Any) -> Callable[[str], int | None]:
         def find(path: str) -> int | None:
-            node, best = table, None
+            node, longest = table, None
             for element in path.split("/")[1:]:
                 node = node.get(element)
                 if node is None:
                     break
-                best = node.get("", best)
-            return best
+                longest = node.get("", longest)
+            return longest
 
         return find
 
@@ -190,29 +194,31 @@
         return root
 
 
-class SortedRoutes:
+class SortedPrefixes:
     """Prefixes as sorted texts; the longest that fits is the place before the path, or one that covers it."""
 
     name = "sorted prefixes"
 
     def build(self, entries: list[str]) -> Any:
-        order = sorted((prefix + "/", number % len(CLASSES)) for number, prefix in enumerate(entries))
-        return [prefix for prefix, _ in order], array("H", (number for _, number in order))
+        ordered = sorted((prefix + "/", number % len(CLASSES)) for number, prefix in enumerate(entries))
+        return [prefix for prefix, _ in ordered], array("H", (number for _, number in ordered))
 
     def find(self, table: Any) -> Callable[[str], int | None]:
         prefixes, classes = table
 
         def find(path: str) -> int | None:
             path += "/"
-            place = bisect_right(prefixes, path)
-            while place:
-                before = prefixes[place - 1]
+            index = bisect_right(prefixes, path)
+            while index:
+                before = prefixes[index - 1]
                 if path.startswith(before):
-                    return classes[place - 1]  # type: ignore[no-any-return]
-                path = path[: path.rfind("/", 0, _common(before, path)) + 1]  # no longer prefix can fit
+                    return classes[index - 1]  # type: ignore[no-any-return]
+                path = path[
+                    : path.rfind("/", 0, _common_prefix_length(before, path)) + 1
+                ]  # no longer prefix can fit
                 if not path:
                     break
-                place = bisect_right(prefixes, path, 0, place)
+                index = bisect_right(prefixes, path, 0, index)
             return None
 
         return find
@@ -224,7 +230,7 @@
         return prefixes, classes
 
 
-class IndexedRoutes:
+class HashIndexedRoutes:
     """The index of tenants' names, a path cut shorter until it is there."""
 
     name = "pages with a hash index"
@@ -257,7 +263,7 @@
         return editor.build(), classes
 
 
-class ShardedRoutes:
+class RouteShards:
     """RouteTable: dicts by some bits of the hash, of which a change copies one."""
 
     name = "64 dicts (taken)"
@@ -274,17 +280,17 @@
         return editor.build()
 
 
-TENANT_WAYS: tuple[Way, ...] = (DictOfTenants(), SortedTenants(), IndexedTenants())
-ROUTE_WAYS: tuple[Way, ...] = (
-    DictOfRoutes(),
-    TreeOfRoutes(),
-    SortedRoutes(),
-    IndexedRoutes(),
-    ShardedRoutes(),
+TENANT_LAYOUTS: tuple[Layout, ...] = (TenantDict(), SortedTenantNames(), TenantPages())
+ROUTE_LAYOUTS: tuple[Layout, ...] = (
+    RouteDict(),
+    RouteRadixTree(),
+    SortedPrefixes(),
+    HashIndexedRoutes(),
+    RouteShards(),
 )
 
 
-def _common(one: str, other: str) -> int:
+def _common_prefix_length(one: str, other: str) -> int:
     """Characters that both begin with."""
     length = 0
     for left, right in zip(one, other, strict=False):
@@ -296,46 +302,48 @@
 
 def best_seconds(work: Callable[[], object]) -> float:
     """Processor seconds of this thread, the best of REPEATS."""
-    spent = []
+    durations = []
     for _ in range(REPEATS):
-        began = time.thread_time()
+        started_at = time.thread_time()
         work()
-        spent.append(time.thread_time() - began)
-    return min(spent)
+        durations.append(time.thread_time() - started_at)
+    return min(durations)
 
 
-def per_look_up(find: Callable[[str], int | None], asked: list[str]) -> float:
+def look_up_microseconds(find: Callable[[str], int | None], queries: list[str]) -> float:
     """Microseconds. The texts asked for are new ones, as a request's are: their hashes are not known yet."""
 
-    def run(fresh: list[str]) -> None:
-        for text in fresh:
+    def run(fresh_queries: list[str]) -> None:
+        for text in fresh_queries:
             find(text)
 
-    spent = []
+    durations = []
     for _ in range(REPEATS):
-        fresh = [text.encode().decode() for text in asked]
-        began = time.thread_time()
-        run(fresh)
-        spent.append(time.thread_time() - began)
-    return 1e6 * min(spent) / len(asked)
-
-
-def measured(what: str, way: Way, entries: list[str], present: list[str], missing: list[str]) -> Row:
-    began = time.thread_time()
-    table = way.build([entry.encode().decode() for entry in entries])
-    built = time.thread_time() - began
-    find = way.find(table)
+        fresh_queries = [text.encode().decode() for text in queries]
+        started_at = time.thread_time()
+        run(fresh_queries)
+        durations.append(time.thread_time() - started_at)
+    return 1e6 * min(durations) / len(queries)
+
+
+def measure_layout(
+    what: str, layout: Layout, entries: list[str], present: list[str], missing: list[str]
+) -> Row:
+    started_at = time.thread_time()
+    table = layout.build([entry.encode().decode() for entry in entries])
+    build_seconds = time.thread_time() - started_at
+    find = layout.find(table)
     changes = [f"{entries[0]}-{number}" for number in range(CHANGES)]
-    change = best_seconds(lambda: [way.change(table, each) for each in changes]) / CHANGES
+    change = best_seconds(lambda: [layout.change(table, each) for each in changes]) / CHANGES
     return Row(
         what=what,
-        way=way.name,
+        way=layout.name,
         entries=len(entries),
         bytes_per_entry=round(size_of(table) / len(entries), 1),
-        look_up=round(per_look_up(find, present), 2),
-        miss=round(per_look_up(find, missing), 2),
+        look_up=round(look_up_microseconds(find, present), 2),
+        miss=round(look_up_microseconds(find, missing), 2),
         change=round(1e6 * change, 1),
-        build=round(built, 3),
+        build=round(build_seconds, 3),
     )
 
 
@@ -344,7 +352,7 @@
     names = tenant_names(size)
     present = rng.choices(names, k=LOOK_UPS)
     missing = [f"nobody-{number:07d}" for number in range(LOOK_UPS)]
-    return [measured("tenants", way, names, present, missing) for way in TENANT_WAYS]
+    return [measure_layout("tenants", layout, names, present, missing) for layout in TENANT_LAYOUTS]
 
 
 def route_rows(size: int) -> list[Row]:
@@ -352,7 +360,7 @@
     prefixes = route_prefixes(size)
     present = [f"{prefix}/{rng.randrange(10_000)}" for prefix in rng.choices(prefixes, k=LOOK_UPS)]
     missing = [f"/nothing-{number}/v1/is/here" for number in range(LOOK_UPS)]
-    return [measured("routes", way, prefixes, present, missing) for way in ROUTE_WAYS]
+    return [measure_layout("routes", layout, prefixes, present, missing) for layout in ROUTE_LAYOUTS]
 
 
 def as_markdown(rows: list[Row]) -> str:
--- a/limeridge/configuration/encoding.py
+++ b/limeridge/configuration/encoding.py
@@ -118,7 +118,7 @@
 
 class WireEntry(_WireStruct, tag=3, frozen=True):
     revision: WireRevision
-    previous: Hash
+    previous_hash: Hash
     digest: Digest
     hash: Hash
 
@@ -276,12 +276,12 @@
 
 def _entry_to_wire(entry: Entry) -> WireEntry:
     digest = entry.digest.to_bytes(DIGEST_BYTES, "big")
-    return WireEntry(_revision_to_wire(entry.revision), entry.previous, digest, entry.hash)
+    return WireEntry(_revision_to_wire(entry.revision), entry.previous_hash, digest, entry.hash)
 
 
 def _entry_from_wire(wire: WireEntry) -> Entry:
     return Entry(
-        _revision_from_wire(wire.revision), wire.previous, int.from_bytes(wire.digest, "big"), wire.hash
+        _revision_from_wire(wire.revision), wire.previous_hash, int.from_bytes(wire.digest, "big"), wire.hash
     )
 
 
--- a/limeridge/configuration/measure.py
+++ b/limeridge/configuration/measure.py
@@ -69,13 +69,13 @@
 
 def change_cost(tables: Tables, changes: int) -> ChangeCost:
     """Changes alone, as they are where one comes in 6 s (`changes` 1), or in one message."""
-    chain = _chain_of(tables)
+    chain = _start_chain(tables)
     start = chain.head
-    began = time.thread_time()
+    started_at = time.thread_time()
     for number in range(changes):
-        chain.accept(_draft(number), TOKEN, 1_700_000_000_000_000 + number)
+        chain.accept(_sample_draft(number), TOKEN, 1_700_000_000_000_000 + number)
     accepted = time.thread_time()
-    entries = _entries(chain, start.number)
+    entries = _entries_after(chain, start.number)
     frames = list(encode_entries(entries))
     encoded = time.thread_time()
     messages = [decode(frame) for frame in frames]
@@ -85,7 +85,7 @@
     return ChangeCost(
         changes,
         sum(map(len, frames)),
-        accept=accepted - began,
+        accept=accepted - started_at,
         encode=encoded - accepted,
         decode=decoded - encoded,
         apply=sum(steps),
@@ -95,10 +95,10 @@
 
 def snapshot_cost(tables: Tables) -> SnapshotCost:
     """A snapshot made, encoded, decoded and loaded by an instance that has no table."""
-    chain = _chain_of(tables)
-    began = time.thread_time()
+    chain = _start_chain(tables)
+    started_at = time.thread_time()
     snapshot = make_snapshot(chain.last, tables)
-    made = time.thread_time()
+    split = time.thread_time()
     frames = [encode(snapshot.header), *map(encode, snapshot.parts)]
     encoded = time.thread_time()
     steps = list(_load_steps(frames))
@@ -108,8 +108,8 @@
         parts=len(snapshot.parts),
         encoded=sum(map(len, frames)),
         largest=max(map(len, frames)),
-        make=made - began,
-        encode=encoded - made,
+        make=split - started_at,
+        encode=encoded - split,
         load=sum(steps),
         longest_step=max(steps),
     )
@@ -119,50 +119,50 @@
     """Seconds of each piece of work of an instance that applies deltas."""
     if not isinstance(message, Deltas):
         raise RuntimeError("the measured message is no delta")
-    yield from _timed(subscriber.receive_deltas_in_steps(message, 1))
+    yield from _step_seconds(subscriber.receive_deltas_in_steps(message, 1))
     if subscriber.head is None or subscriber.head.number != message.revisions[-1].number:
         raise RuntimeError("the measured deltas were not applied")
 
 
 def _load_steps(frames: Sequence[bytes]) -> Iterator[float]:
     """Seconds of each piece of work of an instance that loads a snapshot."""
-    began = time.thread_time()
+    started_at = time.thread_time()
     header = decode(frames[0])
     if not isinstance(header, SnapshotHeader):
         raise RuntimeError("the measured snapshot has no header")
     loader = SnapshotLoader(header, None, now=0)
-    yield time.thread_time() - began
+    yield time.thread_time() - started_at
     for frame in frames[1:]:
-        began = time.thread_time()
+        started_at = time.thread_time()
         part = decode(frame)
         if not isinstance(part, SnapshotPart):
             raise RuntimeError("the measured snapshot has something else in it")
-        yield time.thread_time() - began
-        yield from _timed(loader.load_part(part))
-    yield from _timed(loader.finish())
+        yield time.thread_time() - started_at
+        yield from _step_seconds(loader.load_part(part))
+    yield from _step_seconds(loader.finish())
     if loader.tables.digest != header.entry.digest:
         raise RuntimeError("the measured snapshot was not loaded")
 
 
-def _timed(steps: Iterable[None]) -> Iterator[float]:
-    began = time.thread_time()
+def _step_seconds(steps: Iterable[None]) -> Iterator[float]:
+    started_at = time.thread_time()
     for _ in steps:
-        yield time.thread_time() - began
-        began = time.thread_time()
-    yield time.thread_time() - began
+        yield time.thread_time() - started_at
+        started_at = time.thread_time()
+    yield time.thread_time() - started_at
 
 
-def _chain_of(tables: Tables) -> Chain:
+def _start_chain(tables: Tables) -> Chain:
     chain = Chain(first_entry(tables, 0), tables)
     chain.take_over(TOKEN, 1_700_000_000_000_000)
     return chain
 
 
-def _entries(chain: Chain, after: int) -> list[Entry]:
-    return [chain.entry(number) for number in range(after + 1, chain.head.number + 1)]
+def _entries_after(chain: Chain, after_number: int) -> list[Entry]:
+    return [chain.entry(number) for number in range(after_number + 1, chain.head.number + 1)]
 
 
-def _draft(number: int) -> Draft:
+def _sample_draft(number: int) -> Draft:
     """One change, as an author would hand it in: a quota mostly, now and then a route."""
     rng = random.Random(number)
     change: Change = PutTenant(f"customer-{rng.randrange(300_000):07d}", float(rng.randrange(1_000)))
--- a/tests/test_configuration_revisions.py
+++ b/tests/test_configuration_revisions.py
@@ -38,7 +38,7 @@
 )
 from limeridge.configuration.checks import Refused, check_draft, redundant_routes
 from limeridge.configuration.encoding import MAGIC, VERSION, BadMessage, decode, encode, encode_entries
-from limeridge.configuration.histories import play
+from limeridge.configuration.histories import run_history
 from limeridge.configuration.snapshot import SnapshotFault, load_snapshot, make_snapshot
 from limeridge.configuration.subscriber import (
     Apply,
@@ -274,14 +274,14 @@
     altered = [
         replace(entry, revision=replace(entry.revision, unix_time_us=1)),
         replace(entry, digest=entry.digest + 1),
-        replace(entry, previous=bytes(16)),
+        replace(entry, previous_hash=bytes(16)),
     ]
     for each in altered:
         with pytest.raises(BrokenLink):
             other.replicate([each], FIRST)
-    wrong_tables = make_entry(entry.previous, entry.revision, entry.digest + 1)
+    wrong_tables = make_entry(entry.previous_hash, entry.revision, entry.digest + 1)
     removed = replace(entry.revision, draft=draft(RemoveTenant("missing")))
-    for each in (wrong_tables, make_entry(entry.previous, removed, entry.digest)):
+    for each in (wrong_tables, make_entry(entry.previous_hash, removed, entry.digest)):
         with pytest.raises(BrokenLink):
             other.replicate([each], FIRST)
     assert other.head == chain.entry(1).head
@@ -578,7 +578,7 @@
 
 
 def test_histories_hold() -> None:
-    assert {seed: what for seed in range(CI_SEEDS) if (what := play(seed)) is not None} == {}
+    assert {seed: what for seed in range(CI_SEEDS) if (what := run_history(seed)) is not None} == {}
 
 
 @dataclass(frozen=True)
@@ -677,7 +677,7 @@
     try:
         histories = importlib.import_module(f"{PACKAGE}.histories")
         return next(
-            (number for number, seed in enumerate(seeds, 1) if histories.play(seed) is not None), None
+            (number for number, seed in enumerate(seeds, 1) if histories.run_history(seed) is not None), None
         )
     finally:
         sys.meta_path.remove(finder)
