--- a/limeridge/configuration/compare.py
+++ b/limeridge/configuration/compare.py
@@ -1,10 +1,10 @@
-"""Ways to hold tenants and routes, measured: bytes an entry, look-up, change.
+"""Compares memory layouts for tenants and routes: bytes per entry, time of a look-up and of a change.
 
     python -m limeridge.configuration.compare                 # a table in Markdown
     python -m limeridge.configuration.compare --json --sizes 1000 10000
 
-It owns the ways that were weighed and not taken. A change gives a new table and leaves the old one as it was,
-as the tables in use do. Times are of the processor, of one thread; each is the best of three.
+This module has the layouts that were considered and rejected. A change creates a new table and leaves the old
+one unchanged, as in the tables in use. Times are CPU times of one thread, the best of three runs.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 class Layout(Protocol):
-    """One way to hold entries: all `Any` here is the way's own table."""
+    """A layout to compare; `Any` is its own type of table."""
 
     name: str
 
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Row:
-    """`look_up`, `miss` and `change` in microseconds, `build` in seconds, of the processor."""
+    """One measurement: CPU time of `look_up`, `miss` and `change` in microseconds, of `build` in seconds."""
 
     what: str
     way: str
@@ -64,7 +64,7 @@
 
 
 class TenantDict:
-    """A plain dict from name to number, a list of names and one of quotas."""
+    """A plain dict from name to number, a list of names and a list of quotas."""
 
     name = "plain dict"
 
@@ -85,7 +85,7 @@
 
 
 class SortedTenantNames:
-    """Names as sorted byte strings, found by bisection, with an array of numbers and one of quotas."""
+    """Sorted byte strings with binary search, an array of numbers and an array of quotas."""
 
     name = "sorted byte strings"
 
@@ -119,7 +119,7 @@
 
 
 class TenantPages:
-    """TenantTable: pages and an open-addressing index in shards."""
+    """The TenantTable in use: pages and a sharded open-addressing index."""
 
     name = "pages with a hash index (taken)"
 
@@ -136,7 +136,7 @@
 
 
 class RouteDict:
-    """A plain dict from prefix to class; a path is cut shorter until it is there."""
+    """A plain dict from prefix to class; a look-up removes trailing elements until a prefix is found."""
 
     name = "plain dict"
 
@@ -159,7 +159,7 @@
 
 
 class RouteRadixTree:
-    """A radix tree over elements: a dict of children in each node, its class under the empty text."""
+    """A radix tree over elements: each node is a dict of children, with its class under the empty key."""
 
     name = "radix tree of elements"
 
@@ -195,7 +195,7 @@
 
 
 class SortedPrefixes:
-    """Prefixes as sorted texts; the longest that fits is the place before the path, or one that covers it."""
+    """Sorted prefixes with binary search: the longest match precedes the path, or covers its predecessor."""
 
     name = "sorted prefixes"
 
@@ -215,7 +215,7 @@
                     return classes[index - 1]  # type: ignore[no-any-return]
                 path = path[
                     : path.rfind("/", 0, _common_prefix_length(before, path)) + 1
-                ]  # no longer prefix can fit
+                ]  # no longer prefix can match
                 if not path:
                     break
                 index = bisect_right(prefixes, path, 0, index)
@@ -231,7 +231,7 @@
 
 
 class HashIndexedRoutes:
-    """The index of tenants' names, a path cut shorter until it is there."""
+    """The index of tenant names; a look-up removes trailing elements until a prefix is found."""
 
     name = "pages with a hash index"
 
@@ -264,7 +264,7 @@
 
 
 class RouteShards:
-    """RouteTable: dicts by some bits of the hash, of which a change copies one."""
+    """The RouteTable in use: dicts sharded by bits of the hash, of which a change copies one."""
 
     name = "64 dicts (taken)"
 
@@ -291,7 +291,7 @@
 
 
 def _common_prefix_length(one: str, other: str) -> int:
-    """Characters that both begin with."""
+    """Returns the length of the common prefix of two strings."""
     length = 0
     for left, right in zip(one, other, strict=False):
         if left != right:
@@ -301,7 +301,7 @@
 
 
 def best_seconds(work: Callable[[], object]) -> float:
-    """Processor seconds of this thread, the best of REPEATS."""
+    """Returns the CPU seconds of this thread, the best of REPEATS runs."""
     durations = []
     for _ in range(REPEATS):
         started_at = time.thread_time()
@@ -311,7 +311,10 @@
 
 
 def look_up_microseconds(find: Callable[[str], int | None], queries: list[str]) -> float:
-    """Microseconds. The texts asked for are new ones, as a request's are: their hashes are not known yet."""
+    """Returns microseconds per look-up.
+
+    The queries are new string objects, as those of requests are, so their hashes are not cached yet.
+    """
 
     def run(fresh_queries: list[str]) -> None:
         for text in fresh_queries:
@@ -378,7 +381,7 @@
 
 def main() -> int:
     parser = argparse.ArgumentParser(prog="python -m limeridge.configuration.compare")
-    parser.add_argument("--sizes", type=int, nargs="+", default=SIZES, help="entries of tables of tenants")
+    parser.add_argument("--sizes", type=int, nargs="+", default=SIZES, help="numbers of tenants to measure")
     parser.add_argument("--route-sizes", type=int, nargs="+", default=ROUTE_SIZES)
     parser.add_argument("--json", action="store_true")
     options = parser.parse_args()
--- a/limeridge/configuration/histories.py
+++ b/limeridge/configuration/histories.py
@@ -1,11 +1,12 @@
-"""Seeded histories of publishers, authors and subscribers, judged by a model of its own.
+"""Randomized, seeded histories of publishers, authors and subscribers, checked against a simple model.
 
     python -m limeridge.configuration.histories --seeds 5000
 
-It owns a small world around the decisions of this package: messages that are lost, doubled, late, altered or
-from an older chain, publishers killed between accepting and answering, holders that stall and wake with their
-duty gone, clocks that step back, authors who ask again. It judges after every step, from what authors and
-subscribers have seen and from a plain dict of what was committed. It must never judge by the code it judges.
+This module simulates the environment of this package: messages that are lost, duplicated, late, altered or
+from an older chain, publishers killed between accepting and answering, holders that stall and resume after
+losing the duty to publish, clocks that step back, and authors that resubmit. The invariants are checked
+after every step, using what authors and subscribers have seen and plain dicts of what was committed. The
+checks must not rely on the code that they check.
 """
 
 from __future__ import annotations
@@ -53,12 +54,10 @@
 from limeridge.configuration.tables import ClassLimits, Tables, canonical_bytes
 from limeridge.configuration.tenants import TenantTable
 
-STEP_US = 100_000  # microseconds
+STEP_US = 100_000
 FAULTY_STEPS = 120
-CONVERGENCE_US = (
-    7_000_000  # microseconds after healing, and after the last commit, in which all must be alike
-)
-MAX_HEALED_STEPS = 400  # until all authors have their answer, and the bound
+CONVERGENCE_US = 7_000_000  # after healing and the last commit, by when all subscribers must agree
+MAX_HEALED_STEPS = 400  # until all authors have an answer and CONVERGENCE_US has passed
 PUBLISHERS = 3
 MAJORITY = 2
 SUBSCRIBERS = 4
@@ -66,13 +65,13 @@
 CLASSES = ("read", "write", "report")
 TENANTS = 12
 PREFIXES = ("/", "/a", "/a/b", "/a/b/c", "/b", "/b/c")
-HEAD_INTERVAL_STEPS = 10  # steps between two tellings of a publisher's head
-KEPT_ENTRIES = 4
-RECHECKED_COUNT = 10  # tables of each kind that are looked at once more at the end
+HEAD_INTERVAL_STEPS = 10  # between two announcements of a publisher's head
+KEPT_ENTRIES = 4  # of a log at its compaction
+RECHECKED_COUNT = 10  # tables of each kind that are checked again at the end
 
 
 class InvariantViolation(Exception):
-    """A rule did not hold."""
+    """An invariant did not hold."""
 
 
 Content = tuple[frozenset[tuple[str, float]], frozenset[tuple[str, str]], tuple[float, ...]]
@@ -80,7 +79,7 @@
 
 @dataclass(slots=True)
 class Model:
-    """What should be in force, by plain dicts."""
+    """The expected content of the tables, in plain dicts."""
 
     tenants: dict[str, float] = field(default_factory=dict)
     routes: dict[str, str] = field(default_factory=dict)
@@ -105,7 +104,7 @@
 
 
 def content_of(tables: Tables) -> Content:
-    """As a request would find it: by names and paths, not by the tables' own listing alone."""
+    """Returns the content as requests see it: looked up by name and path, not only listed."""
     tenants = set()
     for name in tables.tenants.names():
         number = tables.tenants.find(name)
@@ -116,19 +115,19 @@
 
 @dataclass(slots=True)
 class Publisher:
-    """One publisher. All that its chain has is on its disk; `up` is False while it is killed."""
+    """One publisher. Its chain is durable; `up` is False between a kill and the restart."""
 
     number: int
     chain: Chain
     up: bool = True
-    token: FencingToken | None = None  # under which it believes to hold the duty
-    acks: dict[int, set[int]] = field(default_factory=dict)  # by revision: who has it
-    pending_answers: list[tuple[Receipt, int, Draft]] = field(default_factory=list)  # author, draft
+    token: FencingToken | None = None  # set while it believes that it holds the duty to publish
+    acks: dict[int, set[int]] = field(default_factory=dict)  # revision number to the publishers that have it
+    pending_answers: list[tuple[Receipt, int, Draft]] = field(default_factory=list)  # receipt, author, draft
 
 
 @dataclass(slots=True)
 class Author:
-    """Asks for one draft until it hears an answer."""
+    """Submits one draft repeatedly until it receives an answer."""
 
     draft: Draft | None = None
     retry_at: int = 0
@@ -136,7 +135,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Message:
-    """`deliver` is called when the time is there."""
+    """A message in transit; `deliver` is called at the time `deliver_at`."""
 
     deliver_at: int
     sequence: int
@@ -163,18 +162,16 @@
             for number in range(SUBSCRIBERS)
         ]
         self.subscribed_to = [number % PUBLISHERS for number in range(SUBSCRIBERS)]
-        self.isolated: set[int] = (
-            set()
-        )  # publishers that reach authors and subscribers, but no other publisher
+        self.isolated: set[int] = set()  # publishers cut off from other publishers only
         self.authors = [Author() for _ in range(AUTHORS)]
         self.messages: list[Message] = []
         self.sent_count = 0
         self.token_count = 0
         self.draft_count = 0
         self.loss = self.rng.choice((0.0, 0.05, 0.3))
-        self.max_delay_steps = self.rng.choice((1, 5, 30))  # steps at the most
-        self.replayable: list[Callable[[], None]] = []  # messages to be replayed much later
-        # what the judge has seen
+        self.max_delay_steps = self.rng.choice((1, 5, 30))  # of a message
+        self.replayable: list[Callable[[], None]] = []  # messages that may be replayed much later
+        # state of the checks
         self.committed: dict[int, Entry] = {}
         self.last_commit_at = 0
         self.expected_contents: dict[int, Content] = {0: Model().content()}
@@ -182,11 +179,9 @@
         self.acknowledged: dict[str, int] = {}
         self.refused: set[str] = set()
         self.highest_seen: list[int] = [-1] * SUBSCRIBERS
-        self.tenant_numbers: list[dict[str, int]] = [{} for _ in range(SUBSCRIBERS)]  # of tenants, at each
-        self.retained_until: list[dict[str, int]] = [{} for _ in range(SUBSCRIBERS)]  # for those that went
-        self.earlier_tables: list[
-            tuple[Tables, int]
-        ] = []  # tables of earlier revisions, which may not change
+        self.tenant_numbers: list[dict[str, int]] = [{} for _ in range(SUBSCRIBERS)]  # by subscriber
+        self.retained_until: list[dict[str, int]] = [{} for _ in range(SUBSCRIBERS)]  # of removed tenants
+        self.earlier_tables: list[tuple[Tables, int]] = []  # must stay unchanged
         self.checked_heads: list[Head | None] = [None] * SUBSCRIBERS
 
     def run(self) -> None:
@@ -247,7 +242,7 @@
         self._elect(self.rng.choice(self.publishers))
 
     def _elect(self, winner: Publisher) -> None:
-        """The duty passes to another; the earlier holder is not told."""
+        """Elects a new holder of the duty to publish; the previous holder is not notified."""
         if not winner.up or winner.number in self.isolated:
             return
         self.token_count += 1
@@ -270,7 +265,7 @@
         self._replicate(winner)
 
     def _copy_entries(self, source: Publisher, target: Publisher, token: FencingToken) -> None:
-        """The entries that the target lacks, or the whole chain where the source's log is too short."""
+        """Copies the entries that the target lacks, or the whole chain if the source's log is too short."""
         base = source.chain.base
         if base.revision.number > target.chain.committed:
             fresh = Chain(
@@ -283,9 +278,10 @@
         target.chain.replicate(entries, token)
 
     def _send_foreign_chain(self, number: int) -> None:
-        """Deltas or a snapshot of a chain that was given up, of a higher revision than the subscriber's.
+        """Sends deltas or a snapshot of an abandoned chain, with a higher revision than the subscriber's.
 
-        Its token is older than all but that of revision 0, where no subscriber could tell the two apart.
+        The token of that chain is older than all but that of revision 0. Subscribers at revision 0 are left
+        out because they could not tell the two chains apart.
         """
         subscriber = self.subscribers[number]
         if subscriber.head is None or subscriber.head.number == 0:
@@ -306,7 +302,7 @@
             self._on_deltas(number, make_deltas(entries))
 
     def _alter_deltas(self, deltas: Deltas) -> Deltas:
-        """Sometimes not what was sent: a revision left out, two exchanged, a text or a token of another."""
+        """Sometimes corrupts deltas: drops a revision, reverses their order, replaces changes or a token."""
         rng = self.rng
         if self.healed or rng.random() >= self.loss / 2:
             return deltas
@@ -329,7 +325,7 @@
         self.subscribers[number].publisher_changed()
 
     def _publisher_clock_us(self) -> int:
-        """A clock that steps back and forth."""
+        """Returns Unix time by a clock that steps back and forth."""
         return 1_700_000_000_000_000 + self.now + self.rng.randrange(-3_600_000_000, 3_600_000_000)
 
     # messages
@@ -366,7 +362,7 @@
                 self._send(lambda other=other: self._on_replication(holder, other, token))  # type: ignore[misc]
 
     def _on_replication(self, holder: Publisher, other: Publisher, token: FencingToken) -> None:
-        """A follower gets the holder's chain as it is now; the holder hears that it has it."""
+        """Replicates the holder's current chain to another publisher, which sends an acknowledgement."""
         if (
             not other.up
             or not holder.up
@@ -438,7 +434,7 @@
                 self._submit(number, author.draft)
 
     def _submit(self, author: int, draft: Draft) -> None:
-        """Of any publisher, sooner of one that takes itself for the holder: the others name it."""
+        """Submits to a random publisher, preferring those that believe to be the holder."""
         holders = [publisher for publisher in self.publishers if publisher.token is not None]
         publisher = self.rng.choice(self.publishers + 3 * holders)
         self._send(lambda: self._on_submission(publisher, author, draft))
@@ -545,7 +541,7 @@
         self._handle_decision(number, subscriber.snapshot_loaded())
 
     def _alter_parts(self, snapshot: Snapshot) -> list[SnapshotPart]:
-        """Sometimes one is missing, doubled, or not what was sent."""
+        """Sometimes drops, duplicates or corrupts one part."""
         parts = list(snapshot.parts)
         rng = self.rng
         if self.healed or not parts or rng.random() >= self.loss:
@@ -567,10 +563,10 @@
             parts[index] = replace(parts[index], tenants=tenants)
         return parts
 
-    # the judge
+    # checks
 
     def _record_commits(self, chain: Chain, before: int, number: int) -> None:
-        """What a holder says is committed: once, in order, never another at the same number."""
+        """Records the commits of a holder, and checks that no revision is committed with other content."""
         for each_number in range(before + 1, number + 1):
             entry = chain.entry(each_number)
             expected = self.committed.get(each_number)
@@ -591,7 +587,7 @@
             expected = self.committed.get(head.number)
             if expected is not None and expected.hash != head.hash:
                 raise InvariantViolation(
-                    f"publisher {publisher.number} has another revision {head.number} committed"
+                    f"publisher {publisher.number} committed a different revision {head.number}"
                 )
 
     def _check_subscriber(self, number: int) -> None:
@@ -602,21 +598,21 @@
         self.checked_heads[number] = head
         if head.number < self.highest_seen[number]:
             raise InvariantViolation(
-                f"subscriber {number} went back from {self.highest_seen[number]} to {head.number}"
+                f"subscriber {number} returned from revision {self.highest_seen[number]} to {head.number}"
             )
         self.highest_seen[number] = head.number
         expected = self.committed.get(head.number)
         if head.number and (expected is None or expected.hash != head.hash):
             raise InvariantViolation(
-                f"subscriber {number} serves by a revision {head.number} that is not committed"
+                f"subscriber {number} serves revision {head.number}, which is not committed"
             )
         if content_of(subscriber.tables) != self.expected_contents[head.number]:
-            raise InvariantViolation(f"subscriber {number} has other tables than revision {head.number}")
+            raise InvariantViolation(f"subscriber {number}: tables do not match revision {head.number}")
         self.earlier_tables.append((subscriber.tables, head.number))
         self._check_numbers(number, subscriber.tables.tenants)
 
     def _check_numbers(self, subscriber: int, tenants: TenantTable) -> None:
-        """A tenant keeps its number while it is there, and for the retention after it went."""
+        """Checks that tenants keep their numbers while present and for the retention after their removal."""
         numbers, retained_until = self.tenant_numbers[subscriber], self.retained_until[subscriber]
         present = {name: tenants.find(name) for name in tenants.names()}
         for name in [name for name, until in retained_until.items() if until <= self.now]:
@@ -627,16 +623,16 @@
         for name, found in present.items():
             retained_until.pop(name, None)
             if found is None or numbers.setdefault(name, found) != found:
-                raise InvariantViolation(f"subscriber {subscriber} gives {name} another number")
+                raise InvariantViolation(f"subscriber {subscriber} changed the number of {name}")
         if len(set(numbers.values())) != len(numbers):
-            raise InvariantViolation(f"subscriber {subscriber} gives a number to two tenants")
+            raise InvariantViolation(f"subscriber {subscriber} assigned one number to two tenants")
 
     def _check_final_state(self) -> None:
         if any(author.draft is not None for author in self.authors):
-            raise InvariantViolation("an author has no answer")
+            raise InvariantViolation("an author received no answer")
         newest = max(self.committed)
         if len({b"".join(canonical_bytes(subscriber.tables)) for subscriber in self.subscribers}) != 1:
-            raise InvariantViolation("subscribers differ in their tables' bytes")
+            raise InvariantViolation("the encoded tables of subscribers differ")
         for tables, revision_number in self.rng.sample(
             self.earlier_tables, min(RECHECKED_COUNT, len(self.earlier_tables))
         ):
@@ -650,12 +646,12 @@
             for revision_number in self.rng.sample(numbers, min(RECHECKED_COUNT, len(numbers))):
                 if content_of(chain.tables_at(revision_number)) != self.expected_contents[revision_number]:
                     raise InvariantViolation(
-                        f"publisher {publisher.number} has other tables at revision {revision_number}"
+                        f"publisher {publisher.number}: tables do not match revision {revision_number}"
                     )
         for number, subscriber in enumerate(self.subscribers):
             if subscriber.head is None or subscriber.head.number != newest:
                 raise InvariantViolation(
-                    f"subscriber {number} is not at revision {newest} in time: {subscriber.head}"
+                    f"subscriber {number} did not reach revision {newest} in time: {subscriber.head}"
                 )
         places: dict[str, list[int]] = {}
         for number, entry in self.committed.items():
@@ -664,13 +660,13 @@
         for change_id, number in self.acknowledged.items():
             if places.get(change_id) != [number]:
                 raise InvariantViolation(
-                    f"{change_id} was acknowledged as {number}, committed as {places.get(change_id)}"
+                    f"{change_id} was acknowledged at {number} but committed at {places.get(change_id)}"
                 )
         for change_id in self.refused:
             if change_id in places:
-                raise InvariantViolation(f"{change_id} was refused and is committed")
+                raise InvariantViolation(f"{change_id} was refused but is committed")
         if sum(self.model.shares) > 1.0 + 1e-9:
-            raise InvariantViolation("shares come to more than 1")
+            raise InvariantViolation("the shares of all classes exceed 1")
 
 
 def _exhaust(steps: Iterator[None]) -> None:
@@ -679,12 +675,12 @@
 
 
 def run_history(seed: int) -> str | None:
-    """What broke in the history of this seed, None where nothing did."""
+    """Runs the history of a seed and returns the violated invariant, or None."""
     try:
         History(seed).run()
     except InvariantViolation as violation:
         return str(violation)
-    except Exception as error:  # a decision that raises what it does not state is a fault of its own
+    except Exception as error:  # an undocumented exception is a defect, too
         return f"{type(error).__name__}: {error}"
     return None
 
--- a/limeridge/configuration/measure.py
+++ b/limeridge/configuration/measure.py
@@ -1,9 +1,9 @@
-"""Costs of revisions, each by one function: bytes on the wire, time to load and to apply, bytes of tables.
+"""Measures the costs of revisions: bytes on the wire, time to load and to apply, bytes of tables.
 
     python -m limeridge.configuration.measure        # JSON
 
-Times are seconds of the processor, of this thread. `longest_step` is the longest piece of work between two
-turns of the reactor.
+Times are CPU seconds of this thread. `longest_step` is the longest piece of work between two turns of the
+reactor.
 """
 
 from __future__ import annotations
@@ -30,14 +30,17 @@
 
 @dataclass(slots=True, frozen=True)
 class ChangeCost:
-    """Of `changes` revisions of one change each: `encoded` bytes in all, the seconds of one message."""
+    """The cost of `changes` revisions with one change each.
+
+    `encoded` is the total size of the messages in bytes; `encode` and `decode` are for all messages.
+    """
 
     changes: int
     encoded: int
-    accept: float  # at the publisher, all of them
+    accept: float  # all of them, at the publisher
     encode: float
     decode: float
-    apply: float  # at the subscriber, all of them
+    apply: float  # all of them, at the subscriber
     longest_step: float
 
 
@@ -47,10 +50,10 @@
     routes: int
     parts: int
     encoded: int  # bytes of all messages
-    largest: int  # bytes of one
-    make: float  # to sort and cut
+    largest: int  # bytes of the largest message
+    make: float  # sorting and splitting
     encode: float
-    load: float  # decoding among it
+    load: float  # including decoding
     longest_step: float
 
 
@@ -68,7 +71,7 @@
 
 
 def change_cost(tables: Tables, changes: int) -> ChangeCost:
-    """Changes alone, as they are where one comes in 6 s (`changes` 1), or in one message."""
+    """Measures `changes` revisions sent together; 1 is the case of one change every 6 s, sent alone."""
     chain = _start_chain(tables)
     start = chain.head
     started_at = time.thread_time()
@@ -94,7 +97,7 @@
 
 
 def snapshot_cost(tables: Tables) -> SnapshotCost:
-    """A snapshot made, encoded, decoded and loaded by an instance that has no table."""
+    """Measures a snapshot: created, encoded, decoded and loaded by an instance without tables."""
     chain = _start_chain(tables)
     started_at = time.thread_time()
     snapshot = make_snapshot(chain.last, tables)
@@ -116,32 +119,32 @@
 
 
 def _apply_steps(subscriber: Subscriber, message: object) -> Iterator[float]:
-    """Seconds of each piece of work of an instance that applies deltas."""
+    """Yields the seconds of each step of applying deltas in an instance."""
     if not isinstance(message, Deltas):
-        raise RuntimeError("the measured message is no delta")
+        raise RuntimeError(f"expected Deltas, got {type(message).__name__}")
     yield from _step_seconds(subscriber.receive_deltas_in_steps(message, 1))
     if subscriber.head is None or subscriber.head.number != message.revisions[-1].number:
-        raise RuntimeError("the measured deltas were not applied")
+        raise RuntimeError("the subscriber did not apply the deltas")
 
 
 def _load_steps(frames: Sequence[bytes]) -> Iterator[float]:
-    """Seconds of each piece of work of an instance that loads a snapshot."""
+    """Yields the seconds of each step of loading a snapshot in an instance."""
     started_at = time.thread_time()
     header = decode(frames[0])
     if not isinstance(header, SnapshotHeader):
-        raise RuntimeError("the measured snapshot has no header")
+        raise RuntimeError(f"expected SnapshotHeader, got {type(header).__name__}")
     loader = SnapshotLoader(header, None, now=0)
     yield time.thread_time() - started_at
     for frame in frames[1:]:
         started_at = time.thread_time()
         part = decode(frame)
         if not isinstance(part, SnapshotPart):
-            raise RuntimeError("the measured snapshot has something else in it")
+            raise RuntimeError(f"expected SnapshotPart, got {type(part).__name__}")
         yield time.thread_time() - started_at
         yield from _step_seconds(loader.load_part(part))
     yield from _step_seconds(loader.finish())
     if loader.tables.digest != header.entry.digest:
-        raise RuntimeError("the measured snapshot was not loaded")
+        raise RuntimeError("the digest of the loaded snapshot does not match")
 
 
 def _step_seconds(steps: Iterable[None]) -> Iterator[float]:
@@ -163,7 +166,7 @@
 
 
 def _sample_draft(number: int) -> Draft:
-    """One change, as an author would hand it in: a quota mostly, now and then a route."""
+    """Returns a draft with one change: a quota, or a route in every tenth draft."""
     rng = random.Random(number)
     change: Change = PutTenant(f"customer-{rng.randrange(300_000):07d}", float(rng.randrange(1_000)))
     if number % 10 == 9:
--- a/limeridge/configuration/samples.py
+++ b/limeridge/configuration/samples.py
@@ -1,4 +1,4 @@
-"""Names, paths and tables of a given size for measurements: the same for the same seed."""
+"""Sample names, paths and tables of a given size for measurements, deterministic for a given seed."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def tenant_names(count: int, seed: int = 1) -> list[str]:
-    """Distinct names of 12 to 20 characters, in no order."""
+    """Returns distinct names of 12 to 20 characters in random order."""
     rng = random.Random(seed)
     names = [f"{rng.choice(KINDS)}-{number:07d}{'x' * rng.randrange(5)}" for number in range(count)]
     rng.shuffle(names)
@@ -34,7 +34,7 @@
 
 
 def route_prefixes(count: int, seed: int = 1) -> list[str]:
-    """Distinct prefixes of two to five elements, some covering others."""
+    """Returns distinct prefixes of two to five elements, some of which cover others."""
     rng = random.Random(seed)
     prefixes: dict[str, None] = {}
     while len(prefixes) < count:
@@ -70,17 +70,17 @@
 
 
 def size_of(*roots: object) -> int:
-    """Bytes of all objects that can be reached from these, each once; classes and modules left out."""
+    """Returns the bytes of all objects reachable from `roots`, counted once, without classes and modules."""
     seen: set[int] = set()
-    waiting = list(roots)
+    pending = list(roots)
     size = 0
-    while waiting:
-        each = waiting.pop()
-        if id(each) in seen or isinstance(each, type | ModuleType | FunctionType):
+    while pending:
+        item = pending.pop()
+        if id(item) in seen or isinstance(item, type | ModuleType | FunctionType):
             continue
-        seen.add(id(each))
-        size += sys.getsizeof(each)
-        waiting.extend(gc.get_referents(each))
-        if isinstance(each, dict):
-            waiting.extend(each)  # the collector passes over keys that are texts
+        seen.add(id(item))
+        size += sys.getsizeof(item)
+        pending.extend(gc.get_referents(item))
+        if isinstance(item, dict):
+            pending.extend(item)  # gc.get_referents omits keys that are strings
     return size
