--- a/tests/test_configuration_live.py
+++ b/tests/test_configuration_live.py
@@ -1,4 +1,4 @@
-"""A revision of the configuration under load: requests see one, what was learnt stays, steps are bounded."""
+"""Live configuration changes: a request sees one revision, learned state is kept, steps are bounded."""
 
 import json
 import tracemalloc
@@ -29,7 +29,7 @@
 from limeridge.interface import Outcome, Stage, Verb
 
 REPLY = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nreply"
-often = settings(derandomize=True, max_examples=150, deadline=None)
+many_examples = settings(derandomize=True, max_examples=150, deadline=None)
 json_values: Any = st.recursive(
     st.none()
     | st.booleans()
@@ -40,7 +40,7 @@
     max_leaves=8,
 )
 
-# ---- the decisions
+# ---- decisions of the brain
 
 
 def revise(host: Host, **changes: object) -> None:
@@ -49,7 +49,7 @@
     host.brain.revise(host.now, new)
 
 
-def test_a_request_keeps_the_terms_it_arrived_under_and_the_next_gets_the_new() -> None:
+def test_open_request_keeps_the_terms_of_its_revision() -> None:
     host = Host(instance__passes_expiry=False)
     before = host.read(patience=0)
     revise(host, products__0__sla_time=100_000, products__0__expiry=200_000, products__0__value=9.0)
@@ -60,7 +60,7 @@
     assert (after.terms.value, after.terms.target) == (9.0, int(TARGET * 100_000))
 
 
-def test_a_held_request_is_judged_by_the_hold_target_of_its_own_revision() -> None:
+def test_held_request_keeps_the_hold_target_of_its_revision() -> None:
     host = Host()
     txns = host.crowd(5)
     assert [txn.stage for txn in txns].count(Stage.HELD) == 3
@@ -69,7 +69,7 @@
     assert not any(txn.answered for txn in txns)
 
 
-def test_what_was_learnt_survives_a_change_of_limits_as_the_same_times() -> None:
+def test_learned_times_are_preserved_when_limits_change() -> None:
     host = Host()
     for _ in range(20):
         txn = host.take()
@@ -86,7 +86,7 @@
     assert abs(product.work() - work) < 0.3 * work
 
 
-def test_rescaled_counts_are_neither_lost_nor_made() -> None:
+def test_rescaling_a_histogram_preserves_its_total() -> None:
     histogram = Histogram((1.0, 2.0, 4.0), 100)
     for value in (0.5, 1.5, 3.0, 3.0, 9.0):
         histogram.add(value)
@@ -97,16 +97,16 @@
     assert histogram.quantile(0.9) <= 1.0
 
 
-def test_a_quota_changes_for_the_next_request_and_its_bucket_does_not_begin_full() -> None:
+def test_quota_change_applies_to_the_next_request_without_a_full_bucket() -> None:
     host = Host(customers__0__quota_per_s=30.0, group_size=100)
     assert [host.read().over_share for _ in range(6)] == [False] * 4 + [True] * 2
     revise(host, customers__0__quota_per_s=0)
     assert not host.read().over_share
     revise(host, customers__0__quota_per_s=30.0)
-    assert host.read().over_share, "away for no time, it has gained nothing"
+    assert host.read().over_share, "no time has passed, so the bucket must not have gained tokens"
 
 
-def test_a_class_that_gets_a_skip_worth_leaves_calls_out_and_an_open_run_of_before_does_not() -> None:
+def test_skip_worth_applies_to_new_requests_only() -> None:
     host = Host(instance__skip_values=[0.0])
     before = host.take()
     revise(host, instance__skip_values=[0.5])
@@ -120,7 +120,7 @@
     assert after in skipped and before not in skipped
 
 
-def test_bounds_of_calls_follow_the_share_unless_it_is_dealt_out() -> None:
+def test_call_limit_follows_the_setting_unless_a_share_is_allotted() -> None:
     host = Host()
     revise(host, instance__calls_out=10.0)
     assert host.brain.call_most == 9.0 and host.brain.call_cap <= 9.0
@@ -129,28 +129,28 @@
     assert host.brain.call_most == 3.0
 
 
-# ---- the reading
+# ---- incremental reading
 
 
-def many(count: int, **more: Any) -> dict[str, Any]:
+def sample_configuration(count: int, **more: Any) -> dict[str, Any]:
     accounts = [{"name": f"tenant {number}", "quotaPerS": 30.0} for number in range(count)]
     return SAMPLE | {"settings": SAMPLE["settings"] | {"accounts": accounts}} | more
 
 
-def pieces(data: bytes) -> list[bytes]:
+def chunks_of(data: bytes) -> list[bytes]:
     return [data[at : at + CHUNK_BYTES] for at in range(0, len(data), CHUNK_BYTES)]
 
 
 def steps_of(data: bytes, before: Setup | None = None, now: int = 0) -> Steps[Setup]:
-    return reading("config", lambda _: pieces(data), before, now)
+    return reading("config", lambda _: chunks_of(data), before, now)
 
 
-# Looking at an entry and retiring it takes a quarter of what adding one takes.
-RETIRED_MOST = 4 * WORK_PER_TURN
+# Examining and retiring an entry takes a quarter of the time of adding one.
+MAX_RETIRED_PER_TURN = 4 * WORK_PER_TURN
 
 
-class Counting:
-    """Counts what one turn does to the entries of a table, by its calls."""
+class EntryCounter:
+    """Counts the entries that one turn adds, retires or drops, by intercepting these calls."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.entries = 0
@@ -159,49 +159,49 @@
             (TenantTableBuilder, "_retire"),
             (NameTableEditor, "drop"),
         ):
-            self.count(monkeypatch, owner, name)
+            self.count_calls(monkeypatch, owner, name)
 
-    def count(self, monkeypatch: pytest.MonkeyPatch, owner: type, name: str) -> None:
-        real = getattr(owner, name)
+    def count_calls(self, monkeypatch: pytest.MonkeyPatch, owner: type, name: str) -> None:
+        original = getattr(owner, name)
 
-        def counted(*given: Any) -> Any:
+        def counted(*args: Any) -> Any:
             self.entries += 1
-            return real(*given)
+            return original(*args)
 
         monkeypatch.setattr(owner, name, counted)
 
     def turns(self, steps: Steps[Setup]) -> tuple[Setup, list[int]]:
-        done, most = None, []
+        done, counts = None, []
         while done is None:
             self.entries = 0
             done = run_turn(steps)
-            most.append(self.entries)
-        return done, most
+            counts.append(self.entries)
+        return done, counts
 
 
-def test_no_turn_works_on_more_than_its_share_of_240_000_tenants(monkeypatch: pytest.MonkeyPatch) -> None:
-    counting = Counting(monkeypatch)
-    full = orjson.dumps(many(240_000))
-    setup, turns = counting.turns(steps_of(full))
+def test_work_per_turn_is_bounded_with_240_000_tenants(monkeypatch: pytest.MonkeyPatch) -> None:
+    counter = EntryCounter(monkeypatch)
+    full = orjson.dumps(sample_configuration(240_000))
+    setup, turns = counter.turns(steps_of(full))
     assert len(setup.tenants) == sum(turns) == 240_000 and max(turns) <= WORK_PER_TURN
     assert setup.tenants.quota(setup.tenants.find("tenant 239999") or 0) == 30.0
-    again, turns = counting.turns(steps_of(full, setup, 1))
+    again, turns = counter.turns(steps_of(full, setup, 1))
     assert max(turns) <= WORK_PER_TURN and all(
         again.tenants.find(f"tenant {number}") == setup.tenants.find(f"tenant {number}")
         for number in range(0, 240_000, 1_000)
     )
-    none, turns = counting.turns(steps_of(orjson.dumps(many(0)), again, 2))
-    assert len(none.tenants) == 0 and sum(turns) == 240_000 and max(turns) <= RETIRED_MOST
-    far = RETENTION_US + 10_000_000_000
-    empty, turns = counting.turns(steps_of(orjson.dumps(many(1)), none, far))
+    none, turns = counter.turns(steps_of(orjson.dumps(sample_configuration(0)), again, 2))
+    assert len(none.tenants) == 0 and sum(turns) == 240_000 and max(turns) <= MAX_RETIRED_PER_TURN
+    after_retention = RETENTION_US + 10_000_000_000
+    empty, turns = counter.turns(steps_of(orjson.dumps(sample_configuration(1)), none, after_retention))
     assert empty.tenants.retired_count() == 0 and sum(turns) == 240_000 and max(turns) <= WORK_PER_TURN
 
 
-def test_no_more_of_the_file_is_held_than_a_few_pieces() -> None:
-    data = orjson.dumps(many(40_000))
+def test_reader_buffers_only_a_few_chunks_of_the_file() -> None:
+    data = orjson.dumps(sample_configuration(40_000))
     tracemalloc.start()
     try:
-        document = Document(pieces(data), {"settings.accounts": lambda: lambda item: None})
+        document = Document(chunks_of(data), {"settings.accounts": lambda: lambda item: None})
         before, _ = tracemalloc.get_traced_memory()
         run_to_completion(document.read())
         assert tracemalloc.get_traced_memory()[1] - before < 8 * CHUNK_BYTES < len(data) // 3
@@ -209,29 +209,27 @@
         tracemalloc.stop()
 
 
-@often
+@many_examples
 @given(value=json_values, indent=st.sampled_from([None, 2]), size=st.integers(1, 40))
-def test_a_document_is_read_as_the_decoder_reads_it_however_it_is_cut(
-    value: Any, indent: int | None, size: int
-) -> None:
+def test_document_matches_json_loads_for_any_chunking(value: Any, indent: int | None, size: int) -> None:
     data = json.dumps({"a": value, "settings": {"list": [value, value], "b": value}}, indent=indent).encode()
-    cut = [data[at : at + size] for at in range(0, len(data), size)]
-    assert run_to_completion(Document(cut, {}).read()) == json.loads(data)
+    chunks = [data[at : at + size] for at in range(0, len(data), size)]
+    assert run_to_completion(Document(chunks, {}).read()) == json.loads(data)
 
 
-@often
+@many_examples
 @given(data=st.binary(max_size=80) | st.text(alphabet='{}[]",:\\ 0159.eE-ntu', max_size=40).map(str.encode))
-def test_no_bytes_do_more_than_be_refused(data: bytes) -> None:
+def test_arbitrary_bytes_are_decoded_or_refused(data: bytes) -> None:
     try:
         found = run_to_completion(Document([data], {}).read())
-    except BadDocument as told:
-        assert "line " in str(told)
+    except BadDocument as error:
+        assert "line " in str(error)
     else:
         assert found == json.loads(data)
 
 
 @pytest.mark.parametrize(
-    ("accounts", "told"),
+    ("accounts", "expected"),
     [
         ([{"name": "a"}, {"name": "b"}, {"name": "a"}], "accounts.2.name: expected a name of its own"),
         ([{"name": "a"}, None], "accounts.1: expected an item, it is null"),
@@ -244,29 +242,29 @@
         ("all", "accounts: expected a list"),
     ],
 )
-def test_a_fault_in_an_account_is_told_by_its_entry(accounts: Any, told: str) -> None:
+def test_account_fault_names_the_entry(accounts: Any, expected: str) -> None:
     value = SAMPLE | {"settings": SAMPLE["settings"] | {"accounts": accounts}}
     for steps in (lambda: run_to_completion(steps_of(json.dumps(value).encode())), lambda: setup_of(value)):
         with pytest.raises(Unusable) as fault:
             steps()
-        assert str(fault.value).startswith(f"settings.{told}")
+        assert str(fault.value).startswith(f"settings.{expected}")
 
 
-def test_a_file_that_changes_while_it_is_read_is_not_taken(tmp_path: Path) -> None:
+def test_file_that_changes_during_reading_is_refused(tmp_path: Path) -> None:
     path = tmp_path / "config"
-    path.write_bytes(orjson.dumps(many(5_000)))
+    path.write_bytes(orjson.dumps(sample_configuration(5_000)))
     steps = reading(str(path))
     assert run_turn(steps) is None
-    path.write_bytes(orjson.dumps(many(5_000, name="n2")))
+    path.write_bytes(orjson.dumps(sample_configuration(5_000, name="n2")))
     with pytest.raises(Unusable, match="it changed"):
         run_to_completion(steps)
 
 
-# ---- the instance
+# ---- reloads of an instance
 
 
 def reload(net: Net, **changes: Any) -> dict[str, Any]:
-    """The settings with these changes, by path; gives the log line."""
+    """Reloads with these settings changed, by path, and returns the log line."""
     net.file = json.loads(json.dumps(net.file))
     for path, value in changes.items():
         *holders, last = path.split("__")
@@ -285,7 +283,7 @@
     return line
 
 
-def booted() -> Net:
+def boot_instance() -> Net:
     net = Net()
     net.boot()
     net.commands()
@@ -296,8 +294,8 @@
     net.tell(event="REAP", cursor=None, handle=ref, fate="ok", lasted=30, arg="ZG9uZQ==")
 
 
-def test_a_request_open_over_a_swap_keeps_its_deadline_and_its_tenant() -> None:
-    net = booted()
+def test_request_open_during_a_reload_keeps_its_deadline_and_tenant() -> None:
+    net = boot_instance()
     caller = net.caller()
     ref = net.ask(caller, 1)
     line = reload(
@@ -309,7 +307,9 @@
     assert (line["code"], line["needs_restart"]) == ("taken", [])
     reload(net, familyInfo__classSkipWorth=[0.0, 0.0], familyInfo__idle=7_000_000)
     assert net.instance.idle_limit() == 7_000_000
-    assert net.instance.facade.skews[0] == 4_000_000, "it may have been read as late as that"
+    assert net.instance.facade.skews[0] == 4_000_000, (
+        "the skew must allow for requests read under the old deadline"
+    )
     assert not net.instance.skips[0]
     [entry] = net.instance.facade.open.values()
     assert entry.txn.terms.expiry == 4_000_000 and entry.txn.due - entry.txn.arrived == 3_000_000
@@ -318,9 +318,9 @@
     net.tell(event="IOREQ", cursor=None, handle=ref, arg="Y2FsbA==")
     line_to_records = net.connect("127.0.1.2")
     replies: list[bool] = []
-    net.instance.kernel.reply = lambda *given: replies.append(given[-1])  # type: ignore[method-assign]
+    net.instance.kernel.reply = lambda *args: replies.append(args[-1])  # type: ignore[method-assign]
     line_to_records.dataReceived(REPLY)
-    assert replies == [True], "its run may go on without the call, as when it arrived"
+    assert replies == [True], "the run must still be allowed to continue without the call, as on arrival"
     end_run(net, ref)
     assert net.answers(caller)[0]["result"]["doc"] == "ZG9uZQ=="
     net.ask(caller, 2)
@@ -330,16 +330,18 @@
     assert entry.txn.terms.expiry == 100_000
 
 
-def test_a_tenant_that_goes_with_requests_open_and_comes_back_has_its_number_and_no_full_bucket() -> None:
-    net = booted()
+def test_tenant_removed_and_readded_keeps_its_number_and_bucket_level() -> None:
+    net = boot_instance()
     caller, here = net.caller(), net.instance.setup.tenants
     for number in range(1, 32):
         net.ask(caller, number)
     over = [entry.txn.over_share for entry in net.instance.facade.open.values()]
-    assert over.count(False) == 30 and over[-1], "45 a second over 3 instances hold 30 at the most"
+    assert over.count(False) == 30 and over[-1], "a quota of 45/s over 3 instances gives a bucket of 30"
     reload(net, accounts=[{"name": "another"}])
     assert net.instance.setup.tenants.find("acme west") is None
-    assert net.instance.setup.tenants.find("another") == 1, "not the number of one that may be open"
+    assert net.instance.setup.tenants.find("another") == 1, (
+        "must not reuse the number of a tenant with open requests"
+    )
     other = net.caller()
     net.ask(other, 1, t="another")
     assert not list(net.instance.facade.open.values())[-1].txn.over_share
@@ -349,8 +351,8 @@
     assert list(net.instance.facade.open.values())[-1].txn.over_share
 
 
-def test_a_key_remembered_over_a_swap_answers_its_repeat() -> None:
-    net = booted()
+def test_idempotency_key_survives_a_reload() -> None:
+    net = boot_instance()
     caller = net.caller()
     ref = net.ask(caller, 1, "book", k="once")
     net.commands()
@@ -366,8 +368,8 @@
     assert net.answers(caller)[0]["result"]["doc"] == "ZG9uZQ==" and net.commands() == []
 
 
-def test_limits_of_classes_change_live_and_what_was_learnt_stays() -> None:
-    net = booted()
+def test_class_limits_change_live_and_learned_state_is_kept() -> None:
+    net = boot_instance()
     caller = net.caller()
     for number in range(1, 6):
         ref = net.ask(caller, number)
@@ -385,8 +387,8 @@
     assert net.instance.skips == [False, True]
 
 
-def test_a_setting_that_the_file_has_no_more_goes_back_to_its_default() -> None:
-    net = booted()
+def test_removed_setting_returns_to_its_default() -> None:
+    net = boot_instance()
     reload(net, groupSize=7, classes__0__worth=9.0, ceilings__maxRetryAfter=5)
     brain = net.instance.facade.brain
     assert brain.settings["group_size"] == 7 and brain.products[0].terms.value == 9.0
@@ -396,8 +398,8 @@
     assert len(net.instance.setup.tenants) == 0 and net.instance.setup.tenants.quota(0) == 0.0
 
 
-def test_what_can_t_change_live_is_told_by_name_and_stays() -> None:
-    net = booted()
+def test_settings_that_need_a_restart_are_reported_and_unchanged() -> None:
+    net = boot_instance()
     classes = [dict(each) for each in SAMPLE["settings"]["classes"]]
     classes[1]["idempotency"] = "free"
     net.file |= {"seed": "ab", "name": "n2", "limits": {"sockets": 900}}
@@ -413,11 +415,11 @@
     brain = net.instance.facade.brain
     assert (brain.cores, brain.settings["instance.cores"], brain.settings["group_size"]) == (2, 2, 8)
     assert brain.products[1].kind == "referenced" and brain.settings["products.1.kind"] == "referenced"
-    assert reload(net)["needs_restart"] == line["needs_restart"], "and told again"
+    assert reload(net)["needs_restart"] == line["needs_restart"], "must be reported at each reload"
 
 
-def test_classes_added_or_removed_wait_for_a_restart_and_the_others_change_by_name() -> None:
-    net = booted()
+def test_added_or_removed_classes_need_a_restart_while_others_change_live() -> None:
+    net = boot_instance()
     look, book = (dict(each) for each in SAMPLE["settings"]["classes"])
     book["worth"] = 8.0
     line = reload(net, classes=[book | {"name": "new"}, book], familyInfo__classSkipWorth=[0.9, 0.4])
@@ -429,7 +431,7 @@
     assert net.answers(caller)[0]["error"]["message"] == "unknown class"
 
 
-def test_every_setting_is_either_live_or_told() -> None:
+def test_every_setting_is_live_or_reported() -> None:
     assert set(SETTINGS) >= LIVE_SETTINGS and {"accounts", "familyInfo.cpus"}.isdisjoint(LIVE_SETTINGS)
     assert FIXED_FOR_MEMBERS < LIVE_SETTINGS
     old = setup_of(SAMPLE)
@@ -441,21 +443,21 @@
     assert members.setup.plain == old.plain
 
 
-@pytest.mark.parametrize("spoil", ["half", "bad", "twice", "no list"])
-def test_a_file_that_can_t_be_used_changes_nothing_of_the_tenants(spoil: str) -> None:
-    net = booted()
+@pytest.mark.parametrize("defect", ["half", "bad", "twice", "no list"])
+def test_unusable_file_leaves_the_tenants_unchanged(defect: str) -> None:
+    net = boot_instance()
     setup, settings = net.instance.setup, net.instance.facade.brain.settings
-    bad = many(3_000, records="127.0.3.2:8901")
+    bad = sample_configuration(3_000, records="127.0.3.2:8901")
     accounts = bad["settings"]["accounts"]
-    if spoil == "bad":
+    if defect == "bad":
         accounts[2_900]["quotaPerS"] = "many"
-    elif spoil == "twice":
+    elif defect == "twice":
         accounts.append(accounts[0])
-    elif spoil == "no list":
+    elif defect == "no list":
         bad["settings"]["accounts"] = {}
     data = orjson.dumps(bad)
     net.instance.reread = lambda before, now: steps_of(
-        data[:60_000] if spoil == "half" else data, before, now
+        data[:60_000] if defect == "half" else data, before, now
     )
     net.instance.reload()
     net.pass_time(0.4)
@@ -463,23 +465,21 @@
     assert (line["code"], line["tries_left"]) == ("unusable", 6)
     assert net.instance.setup is setup and net.instance.facade.brain.settings is settings
     assert net.instance.callers.decoder.tenants is setup.tenants
-    good = orjson.dumps(many(3_000, records="127.0.3.2:8901"))
+    good = orjson.dumps(sample_configuration(3_000, records="127.0.3.2:8901"))
     net.instance.reread = lambda before, now: steps_of(good, before, now)
     net.pass_time(2.0)
     assert net.log.codes("reload") == ["unusable", "taken"] and len(net.instance.setup.tenants) == 3_000
 
 
-def test_requests_are_served_by_the_old_revision_while_a_reload_goes_on_and_a_second_one_starts_over() -> (
-    None
-):
-    net = booted()
+def test_old_revision_serves_during_a_reload_and_a_second_reload_restarts_it() -> None:
+    net = boot_instance()
     caller, before = net.caller(), net.instance.setup
-    net.file = many(2_000)
+    net.file = sample_configuration(2_000)
     net.instance.reload()
     assert net.instance.loading is not None and net.instance.setup is before
     net.ask(caller, 1)
-    assert len(net.instance.facade.open) == 1, "its tenant is known in the old revision alone"
-    net.file = many(1_000)
+    assert len(net.instance.facade.open) == 1, "its tenant exists only in the old revision"
+    net.file = sample_configuration(1_000)
     net.instance.reload()
     assert net.instance.loading is not None and net.instance.setup is before
     net.pass_time(1.0)
@@ -490,9 +490,9 @@
     assert len(net.instance.facade.open) == 2
 
 
-def test_a_reload_goes_on_in_a_drain_and_ends_with_the_instance() -> None:
-    net = booted()
-    net.file = many(1_000)
+def test_reload_continues_during_a_drain_and_is_aborted_at_stop() -> None:
+    net = boot_instance()
+    net.file = sample_configuration(1_000)
     net.instance.leave()
     net.instance.reload()
     net.pass_time(0.2)
