--- a/limeridge/configuration/checks.py
+++ b/limeridge/configuration/checks.py
@@ -95,16 +95,17 @@
 
 
 def _format_faults(draft: Draft) -> Iterator[Fault]:
-    single_faults = list(islice(_single_change_faults(draft), MAX_FAULTS))
-    if single_faults:
-        yield from single_faults
+    bounds_faults = list(islice(_bounds_faults(draft), MAX_FAULTS))
+    if bounds_faults:
+        yield from bounds_faults
     elif len(encode_draft(draft)) > MAX_DRAFT_BYTES:
         yield Fault("changes", f"expected at most {MAX_DRAFT_BYTES} bytes in all")
     else:
         yield from _duplicate_faults(draft)
 
 
-def _single_change_faults(draft: Draft) -> Iterator[Fault]:
+def _bounds_faults(draft: Draft) -> Iterator[Fault]:
+    """Checks the types and bounds of the draft and of each change on its own."""
     yield from _text_faults(draft)
     if len(draft.changes) > MAX_CHANGES:
         yield Fault("changes", f"expected at most {MAX_CHANGES}")
@@ -240,7 +241,7 @@
                 tenants -= 1
             case RemoveRoute():
                 routes -= 1
-        for kind, entry_count, maximum in (("tenants", tenants, MAX_TENANTS), ("routes", routes, MAX_ROUTES)):
-            if entry_count > maximum:
+        for kind, count, maximum in (("tenants", tenants, MAX_TENANTS), ("routes", routes, MAX_ROUTES)):
+            if count > maximum:
                 yield Fault(f"changes.{index}", f"expected at most {maximum} {kind}")
                 return
--- a/limeridge/configuration/reading.py
+++ b/limeridge/configuration/reading.py
@@ -97,7 +97,7 @@
         self._text = ""
         self._position = 0
         self._at_end = False
-        self._line_count = 1  # line number at the start of `_text`
+        self._first_line = 1  # line number of the start of `_text`
 
     def read(self) -> Steps[Any]:
         """Reads the value of the document. Raises BadDocument, and whatever the chunks raise."""
@@ -215,13 +215,13 @@
             text = self._decode(chunk, final=self._at_end)
         except UnicodeDecodeError as error:
             raise self._error(f"Invalid UTF-8, {error.reason}", len(self._text)) from None
-        self._line_count += self._text.count("\n", 0, self._position)
+        self._first_line += self._text.count("\n", 0, self._position)
         self._text = self._text[self._position :] + text
         self._position = 0
         yield 1 + CHUNK_WORK * len(chunk) // CHUNK_BYTES
 
     def _error(self, message: str, position: int) -> BadDocument:
-        return BadDocument(f"{message}: line {self._line_count + self._text.count(chr(10), 0, position)}")
+        return BadDocument(f"{message}: line {self._first_line + self._text.count(chr(10), 0, position)}")
 
 
 def _reject_constant(name: str) -> None:
--- a/limeridge/configuration/snapshot.py
+++ b/limeridge/configuration/snapshot.py
@@ -131,7 +131,7 @@
     def tables(self) -> Tables:
         """The loaded tables. Raises RuntimeError before the last step."""
         if self._tables is None:
-            raise RuntimeError("the snapshot is not loaded yet")
+            raise RuntimeError("the snapshot is not completely loaded yet")
         return self._tables
 
     def load_part(self, part: SnapshotPart) -> Iterator[None]:
--- a/limeridge/configuration/tenants.py
+++ b/limeridge/configuration/tenants.py
@@ -108,7 +108,7 @@
                     yield (page_index << PAGE_BITS) + offset
 
     def retired_count(self) -> int:
-        """Returns how many removed tenants still keep their numbers."""
+        """Returns how many removed tenants keep their numbers."""
         return len(self._names) - self._count
 
 
@@ -183,7 +183,8 @@
             return 0
         oldest = self._retirements[0]
         for number in oldest.numbers[-limit:]:
-            if self._quotas.get(number) == -float(oldest.until):  # else added again since
+            # Differs if the tenant was added again since, even if it was then removed again.
+            if self._quotas.get(number) == -float(oldest.until):
                 self._names.drop(number)
                 self._quotas.set(number, UNUSED)
         remaining = oldest.numbers[:-limit]
