--- a/limeridge/configuration/changes.py
+++ b/limeridge/configuration/changes.py
@@ -1,7 +1,7 @@
-"""Typed changes of the configuration, what an author hands in, and the bytes by which both are hashed.
+"""Typed configuration changes, the drafts that authors submit, and their canonical encoding for hashing.
 
-It owns the kinds of changes and their canonical bytes, which are the same in every process and release. It
-must never judge whether a change may be made: `checks.py` does.
+The canonical encoding must be the same in every process and release. Whether a change is allowed is not
+decided here but in `checks.py`.
 """
 
 from __future__ import annotations
@@ -10,19 +10,19 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-CHANGES_MOST = 1_000  # in one revision
-DRAFT_MOST = 1 << 19  # canonical bytes of one
-AUTHOR_MOST = 256  # characters
-REASON_MOST = 1_024
-CHANGE_ID_MOST = 128
+MAX_CHANGES = 1_000  # in one revision
+MAX_DRAFT_BYTES = 1 << 19  # of its canonical encoding
+MAX_AUTHOR_CHARACTERS = 256
+MAX_REASON_CHARACTERS = 1_024
+MAX_CHANGE_ID_CHARACTERS = 128
 
 
 @dataclass(slots=True, frozen=True)
 class PutTenant:
-    """Add a tenant, or set the quota of one that is there."""
+    """Adds a tenant, or sets the quota of an existing one."""
 
     name: str
-    quota: float  # requests a second of the whole fleet; 0 for none
+    quota: float  # requests per second of the whole fleet; 0 for none
 
 
 @dataclass(slots=True, frozen=True)
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PutRoute:
-    """Add a route, or lead one that is there to another class."""
+    """Adds a route, or changes the class of an existing one."""
 
     prefix: str
     class_name: str
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetClassLimit:
-    """Set the share of an instance's capacity that is kept for a class, from 0 to 1."""
+    """Sets the share of an instance's capacity that is reserved for a class, from 0 to 1."""
 
     class_name: str
     share: float
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Draft:
-    """What an author asks for; the change id tells a repeat of the same asking."""
+    """The changes that an author submits as one; the change id identifies a repeated submission."""
 
     change_id: str
     author: str
@@ -64,42 +64,42 @@
     changes: tuple[Change, ...]
 
 
-def packed(*fields: bytes) -> bytes:
-    """Fields one behind the other, each with its length, so that no two lists give the same bytes."""
+def encode_fields(*fields: bytes) -> bytes:
+    """Concatenates fields, each prefixed by its length, so that no two lists give the same bytes."""
     return b"".join(b"%d:%b" % (len(field), field) for field in fields)
 
 
-def text_bytes(text: str) -> bytes:
+def encode_text(text: str) -> bytes:
     return text.encode("utf-8", "surrogatepass")
 
 
-def number_bytes(number: float) -> bytes:
-    return struct.pack(">d", number + 0.0)  # so that minus zero is zero
+def encode_number(number: float) -> bytes:
+    return struct.pack(">d", number + 0.0)  # adding 0.0 turns -0.0 into 0.0
 
 
-def change_bytes(change: Change) -> bytes:
+def encode_change(change: Change) -> bytes:
     match change:
         case PutTenant(name, quota):
-            return packed(b"put-tenant", text_bytes(name), number_bytes(quota))
+            return encode_fields(b"put-tenant", encode_text(name), encode_number(quota))
         case RemoveTenant(name):
-            return packed(b"remove-tenant", text_bytes(name))
+            return encode_fields(b"remove-tenant", encode_text(name))
         case PutRoute(prefix, class_name):
-            return packed(b"put-route", text_bytes(prefix), text_bytes(class_name))
+            return encode_fields(b"put-route", encode_text(prefix), encode_text(class_name))
         case RemoveRoute(prefix):
-            return packed(b"remove-route", text_bytes(prefix))
+            return encode_fields(b"remove-route", encode_text(prefix))
         case SetClassLimit(class_name, share):
-            return packed(b"set-class-limit", text_bytes(class_name), number_bytes(share))
+            return encode_fields(b"set-class-limit", encode_text(class_name), encode_number(share))
 
 
-def draft_bytes(draft: Draft) -> bytes:
-    return packed(
-        text_bytes(draft.change_id),
-        text_bytes(draft.author),
-        text_bytes(draft.reason),
-        *map(change_bytes, draft.changes),
+def encode_draft(draft: Draft) -> bytes:
+    return encode_fields(
+        encode_text(draft.change_id),
+        encode_text(draft.author),
+        encode_text(draft.reason),
+        *map(encode_change, draft.changes),
     )
 
 
-def fingerprint_of(draft: Draft) -> bytes:
-    """Tells whether a repeated asking asks for the same."""
-    return blake2b(draft_bytes(draft), digest_size=16).digest()
+def draft_fingerprint(draft: Draft) -> bytes:
+    """Returns a hash that tells whether a repeated submission is identical."""
+    return blake2b(encode_draft(draft), digest_size=16).digest()
--- a/limeridge/configuration/measure.py
+++ b/limeridge/configuration/measure.py
@@ -1,9 +1,9 @@
-"""Costs of revisions, each by one function: bytes on the wire, time to load and to apply, bytes of tables.
+"""Measures the costs of revisions: bytes on the wire, time to load and to apply, bytes of tables.
 
     python -m limeridge.configuration.measure        # JSON
 
-Times are seconds of the processor, of this thread. `longest_step` is the longest piece of work between two
-turns of the reactor.
+Times are CPU seconds of this thread. `longest_step` is the longest piece of work between two turns of the
+reactor.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from limeridge.configuration.changes import Change, Draft, PutRoute, PutTenant
 from limeridge.configuration.encoding import decode, encode, encode_entries
 from limeridge.configuration.samples import CLASSES, ROUTES, TENANTS, sample_tables, size_of
-from limeridge.configuration.snapshot import SnapshotHeader, SnapshotLoader, SnapshotPart, snapshot_of
+from limeridge.configuration.snapshot import SnapshotHeader, SnapshotLoader, SnapshotPart, make_snapshot
 from limeridge.configuration.subscriber import Deltas, Subscriber
 from limeridge.configuration.tables import Tables
 
@@ -30,14 +30,17 @@
 
 @dataclass(slots=True, frozen=True)
 class ChangeCost:
-    """Of `changes` revisions of one change each: `encoded` bytes in all, the seconds of one message."""
+    """The cost of `changes` revisions with one change each.
+
+    `encoded` is the total size of the messages in bytes; `encode` and `decode` are for all messages.
+    """
 
     changes: int
     encoded: int
-    accept: float  # at the publisher, all of them
+    accept: float  # all of them, at the publisher
     encode: float
     decode: float
-    apply: float  # at the subscriber, all of them
+    apply: float  # all of them, at the subscriber
     longest_step: float
 
 
@@ -47,10 +50,10 @@
     routes: int
     parts: int
     encoded: int  # bytes of all messages
-    largest: int  # bytes of one
-    make: float  # to sort and cut
+    largest: int  # bytes of the largest message
+    make: float  # sorting and splitting
     encode: float
-    load: float  # decoding among it
+    load: float  # including decoding
     longest_step: float
 
 
@@ -68,14 +71,14 @@
 
 
 def change_cost(tables: Tables, changes: int) -> ChangeCost:
-    """Changes alone, as they are where one comes in 6 s (`changes` 1), or in one message."""
-    chain = _chain_of(tables)
+    """Measures `changes` revisions sent together; 1 is the case of one change every 6 s, sent alone."""
+    chain = _start_chain(tables)
     start = chain.head
-    began = time.thread_time()
+    started_at = time.thread_time()
     for number in range(changes):
-        chain.accept(_draft(number), TOKEN, 1_700_000_000_000_000 + number)
+        chain.accept(_sample_draft(number), TOKEN, 1_700_000_000_000_000 + number)
     accepted = time.thread_time()
-    entries = _entries(chain, start.number)
+    entries = _entries_after(chain, start.number)
     frames = list(encode_entries(entries))
     encoded = time.thread_time()
     messages = [decode(frame) for frame in frames]
@@ -85,7 +88,7 @@
     return ChangeCost(
         changes,
         sum(map(len, frames)),
-        accept=accepted - began,
+        accept=accepted - started_at,
         encode=encoded - accepted,
         decode=decoded - encoded,
         apply=sum(steps),
@@ -94,11 +97,11 @@
 
 
 def snapshot_cost(tables: Tables) -> SnapshotCost:
-    """A snapshot made, encoded, decoded and loaded by an instance that has no table."""
-    chain = _chain_of(tables)
-    began = time.thread_time()
-    snapshot = snapshot_of(chain.last, tables)
-    made = time.thread_time()
+    """Measures a snapshot: created, encoded, decoded and loaded by an instance without tables."""
+    chain = _start_chain(tables)
+    started_at = time.thread_time()
+    snapshot = make_snapshot(chain.last, tables)
+    split = time.thread_time()
     frames = [encode(snapshot.header), *map(encode, snapshot.parts)]
     encoded = time.thread_time()
     steps = list(_load_steps(frames))
@@ -108,62 +111,62 @@
         parts=len(snapshot.parts),
         encoded=sum(map(len, frames)),
         largest=max(map(len, frames)),
-        make=made - began,
-        encode=encoded - made,
+        make=split - started_at,
+        encode=encoded - split,
         load=sum(steps),
         longest_step=max(steps),
     )
 
 
 def _apply_steps(subscriber: Subscriber, message: object) -> Iterator[float]:
-    """Seconds of each piece of work of an instance that applies deltas."""
+    """Yields the seconds of each step of applying deltas in an instance."""
     if not isinstance(message, Deltas):
-        raise RuntimeError("the measured message is no delta")
-    yield from _timed(subscriber.deltas_in_steps(message, 1))
+        raise RuntimeError(f"expected Deltas, got {type(message).__name__}")
+    yield from _step_seconds(subscriber.receive_deltas_in_steps(message, 1))
     if subscriber.head is None or subscriber.head.number != message.revisions[-1].number:
-        raise RuntimeError("the measured deltas were not applied")
+        raise RuntimeError("the subscriber did not apply the deltas")
 
 
 def _load_steps(frames: Sequence[bytes]) -> Iterator[float]:
-    """Seconds of each piece of work of an instance that loads a snapshot."""
-    began = time.thread_time()
+    """Yields the seconds of each step of loading a snapshot in an instance."""
+    started_at = time.thread_time()
     header = decode(frames[0])
     if not isinstance(header, SnapshotHeader):
-        raise RuntimeError("the measured snapshot has no header")
+        raise RuntimeError(f"expected SnapshotHeader, got {type(header).__name__}")
     loader = SnapshotLoader(header, None, now=0)
-    yield time.thread_time() - began
+    yield time.thread_time() - started_at
     for frame in frames[1:]:
-        began = time.thread_time()
+        started_at = time.thread_time()
         part = decode(frame)
         if not isinstance(part, SnapshotPart):
-            raise RuntimeError("the measured snapshot has something else in it")
-        yield time.thread_time() - began
-        yield from _timed(loader.take(part))
-    yield from _timed(loader.finish())
+            raise RuntimeError(f"expected SnapshotPart, got {type(part).__name__}")
+        yield time.thread_time() - started_at
+        yield from _step_seconds(loader.load_part(part))
+    yield from _step_seconds(loader.finish())
     if loader.tables.digest != header.entry.digest:
-        raise RuntimeError("the measured snapshot was not loaded")
+        raise RuntimeError("the digest of the loaded snapshot does not match")
 
 
-def _timed(steps: Iterable[None]) -> Iterator[float]:
-    began = time.thread_time()
+def _step_seconds(steps: Iterable[None]) -> Iterator[float]:
+    started_at = time.thread_time()
     for _ in steps:
-        yield time.thread_time() - began
-        began = time.thread_time()
-    yield time.thread_time() - began
+        yield time.thread_time() - started_at
+        started_at = time.thread_time()
+    yield time.thread_time() - started_at
 
 
-def _chain_of(tables: Tables) -> Chain:
+def _start_chain(tables: Tables) -> Chain:
     chain = Chain(first_entry(tables, 0), tables)
     chain.take_over(TOKEN, 1_700_000_000_000_000)
     return chain
 
 
-def _entries(chain: Chain, after: int) -> list[Entry]:
-    return [chain.entry(number) for number in range(after + 1, chain.head.number + 1)]
+def _entries_after(chain: Chain, after_number: int) -> list[Entry]:
+    return [chain.entry(number) for number in range(after_number + 1, chain.head.number + 1)]
 
 
-def _draft(number: int) -> Draft:
-    """One change, as an author would hand it in: a quota mostly, now and then a route."""
+def _sample_draft(number: int) -> Draft:
+    """Returns a draft with one change: a quota, or a route in every tenth draft."""
     rng = random.Random(number)
     change: Change = PutTenant(f"customer-{rng.randrange(300_000):07d}", float(rng.randrange(1_000)))
     if number % 10 == 9:
--- a/limeridge/configuration/names.py
+++ b/limeridge/configuration/names.py
@@ -1,8 +1,8 @@
-"""Names with numbers: an immutable table of texts, each with a number, found by either.
+"""An immutable bidirectional mapping between names and small integer numbers.
 
-It owns how names lie in memory and how they are found. Two tables share all pages and index shards that did
-not change between them, so that a change costs a few pages and not a copy. It must never change a table once
-it is built. It knows nothing of what the names stand for, nor when a number may be given again.
+This module defines the memory layout of the names and their hash index. Two tables share all pages and index
+shards that did not change between them, so a change copies a few pages instead of the whole table. A table is
+never modified after it is built. What the names denote, and when a number may be reused, is up to the caller.
 """
 
 from __future__ import annotations
@@ -15,32 +15,32 @@
 from limeridge.configuration.columns import PAGE_BITS, PAGE_MASK, PAGE_SIZE
 
 SHARD_BITS = 10
-SHARDS = 1 << SHARD_BITS
-SHARD_MASK = SHARDS - 1
-SHARD_LEAST = 4  # slots of a shard that holds anything
+SHARD_COUNT = 1 << SHARD_BITS
+SHARD_MASK = SHARD_COUNT - 1
+MIN_SHARD_SLOTS = 4  # of a shard that is not empty
 TAG_BITS = 12
 TAG_MASK = (1 << TAG_BITS) - 1
-SHARD_MOST = 1 << TAG_BITS  # slots; the tag alone leads to a slot
+MAX_SHARD_SLOTS = 1 << TAG_BITS  # the first slot to probe is taken from the tag alone
 NUMBER_BITS = 20
 NUMBER_MASK = (1 << NUMBER_BITS) - 1
-NUMBERS_MOST = NUMBER_MASK  # a slot holds the number and one
+MAX_NUMBERS = NUMBER_MASK  # a slot stores number + 1, as 0 marks a free slot
 
 
 class IndexFull(Exception):
-    """No number is left, or the names' hashes are too uneven for the index."""
+    """All numbers are in use, or the names' hashes are too unevenly distributed for the index."""
 
 
 @dataclass(slots=True, frozen=True)
 class NamePage:
-    """The names of PAGE_SIZE numbers in one blob; each name ends where the next one begins."""
+    """The names of PAGE_SIZE consecutive numbers, concatenated; `ends` holds the end offset of each."""
 
     blob: bytes
     ends: array[int]
 
-    def get(self, place: int) -> bytes:
-        return self.blob[self.ends[place - 1] if place else 0 : self.ends[place]]
+    def get(self, offset: int) -> bytes:
+        return self.blob[self.ends[offset - 1] if offset else 0 : self.ends[offset]]
 
-    def all(self) -> list[bytes]:
+    def names(self) -> list[bytes]:
         names, begin = [], 0
         for end in self.ends:
             names.append(self.blob[begin:end])
@@ -48,25 +48,26 @@
         return names
 
 
-def name_page(names: list[bytes]) -> NamePage:
-    """The page of PAGE_SIZE names, empty where a number has none."""
+def build_name_page(names: list[bytes]) -> NamePage:
+    """Builds a page from PAGE_SIZE names; an empty name marks a number that is not in use."""
     return NamePage(b"".join(names), array("I", accumulate(map(len, names))))
 
 
-def encoded_name(name: str) -> bytes:
+def encode_name(name: str) -> bytes:
     return name.encode("utf-8", "surrogatepass")
 
 
-def decoded_name(name: bytes) -> str:
+def decode_name(name: bytes) -> str:
     return name.decode("utf-8", "surrogatepass")
 
 
 class NameTable:
     """The names of one revision.
 
-    A number leads to a page, a name by its hash to a shard of the index, which is open addressing with linear
-    probing. A slot is 0 where free, else number + 1 below a tag: TAG_BITS more of the hash, which give the
-    slot to begin at and spare most comparisons of names.
+    A number selects a page and an offset in it. A name is looked up by its hash in a sharded index that uses
+    open addressing with linear probing. A slot is 0 if free; otherwise it holds number + 1 in the low bits
+    and a tag above them. The tag is TAG_BITS further bits of the hash: it selects the first slot to probe
+    and avoids most comparisons of names.
     """
 
     __slots__ = ("free", "pages", "shards", "used")
@@ -76,99 +77,100 @@
     ) -> None:
         self.pages = pages
         self.shards = shards
-        self.used = used  # numbers below it have been given out at some time
-        self.free = free  # those of them that have no name now
+        self.used = used  # all numbers below this have been allocated at some time
+        self.free = free  # allocated numbers that have no name at present
 
     @staticmethod
     def empty() -> NameTable:
-        return NameTable((), (array("I"),) * SHARDS, 0, array("I"))
+        return NameTable((), (array("I"),) * SHARD_COUNT, 0, array("I"))
 
     def __len__(self) -> int:
         return self.used - len(self.free)
 
     def find(self, name: str) -> int | None:
-        """The name's number, None where it is not there."""
-        hashed = hash(name)
-        shard = self.shards[hashed & SHARD_MASK]
+        """Returns the number of a name, or None if the name is not in the table."""
+        name_hash = hash(name)
+        shard = self.shards[name_hash & SHARD_MASK]
         if not shard:
             return None
         mask = len(shard) - 1
-        tag = (hashed >> SHARD_BITS) & TAG_MASK
+        tag = (name_hash >> SHARD_BITS) & TAG_MASK
         slot = tag & mask
         while entry := shard[slot]:
             if entry >> NUMBER_BITS == tag:
                 number = (entry & NUMBER_MASK) - 1
-                page, place = self.pages[number >> PAGE_BITS], number & PAGE_MASK
+                page, offset = self.pages[number >> PAGE_BITS], number & PAGE_MASK
                 ends = page.ends
-                # NamePage.get in place: this is on the path of every request
-                held = page.blob[ends[place - 1] if place else 0 : ends[place]]
-                if held == name.encode("utf-8", "surrogatepass"):
+                # NamePage.get inlined, because every request runs this
+                stored_name = page.blob[ends[offset - 1] if offset else 0 : ends[offset]]
+                if stored_name == name.encode("utf-8", "surrogatepass"):
                     return number
             slot = (slot + 1) & mask
         return None
 
     def name(self, number: int) -> str:
-        """Empty where the number has no name."""
+        """Returns the name of a number, or an empty string if the number has none."""
         if not 0 <= number < self.used:
             return ""
-        return decoded_name(self.pages[number >> PAGE_BITS].get(number & PAGE_MASK))
+        return decode_name(self.pages[number >> PAGE_BITS].get(number & PAGE_MASK))
 
     def items(self) -> Iterator[tuple[int, str]]:
-        """Numbers with their names, ascending."""
-        for page, names in enumerate(self.pages):
-            for place, name in enumerate(names.all()):
+        """Yields (number, name) pairs in ascending order of numbers."""
+        for page_index, page in enumerate(self.pages):
+            for offset, name in enumerate(page.names()):
                 if name:
-                    yield (page << PAGE_BITS) + place, decoded_name(name)
+                    yield (page_index << PAGE_BITS) + offset, decode_name(name)
 
 
 class NameTableEditor:
-    """The next table after `table`. Names may not be empty."""
+    """Builds a modified copy of `table`. Names must not be empty."""
 
     def __init__(self, table: NameTable) -> None:
         self.used = table.used
         self._pages = list(table.pages)
         self._shards = list(table.shards)
         self._free = table.free[:]
-        self._own_shards: dict[int, int] = {}  # those not shared with the earlier table: entries in each
-        self._open_page: int | None = None  # the one page whose names stand in a list
+        # Shards that were copied and are no longer shared with the earlier table: index to entry count.
+        self._copied_shard_sizes: dict[int, int] = {}
+        self._open_page: int | None = None  # the one page whose names are unpacked into `_open_names`
         self._open_names: list[bytes] = []
 
     def __len__(self) -> int:
         return self.used - len(self._free)
 
     def find(self, name: str) -> int | None:
-        """As in the table, in what is edited."""
-        hashed = hash(name)
-        shard = self._shards[hashed & SHARD_MASK]
+        """Like `NameTable.find`, on the edited state."""
+        name_hash = hash(name)
+        shard = self._shards[name_hash & SHARD_MASK]
         if not shard:
             return None
         mask = len(shard) - 1
-        tag = (hashed >> SHARD_BITS) & TAG_MASK
+        tag = (name_hash >> SHARD_BITS) & TAG_MASK
         slot = tag & mask
         while entry := shard[slot]:
             if entry >> NUMBER_BITS == tag:
                 number = (entry & NUMBER_MASK) - 1
-                if self._name(number) == encoded_name(name):
+                if self._name(number) == encode_name(name):
                     return number
             slot = (slot + 1) & mask
         return None
 
     def add(self, name: str) -> int:
-        """A number for a name that is not there yet. Raises IndexFull."""
-        number = self._new_number()
-        self._set_name(number, encoded_name(name))
-        self._index(hash(name), number)
+        """Adds a name that is not in the table yet and returns its number. Raises IndexFull."""
+        number = self._allocate_number()
+        self._set_name(number, encode_name(name))
+        self._add_to_index(hash(name), number)
         return number
 
     def drop(self, number: int) -> None:
-        """Forget the name; the number is free for another."""
-        self._unindex(number)
+        """Removes the name of this number, which may then be allocated to another name."""
+        self._remove_from_index(number)
         self._set_name(number, b"")
         self._free.append(number)
 
     def build(self) -> NameTable:
-        """The table; the editor is of no use after it."""
-        self._close_page()
+        """Returns the new table; the editor must not be used afterwards."""
+        self._flush_open_page()
         return NameTable(tuple(self._pages), tuple(self._shards), self.used, self._free)
 
     def _name(self, number: int) -> bytes:
@@ -180,78 +182,78 @@
     def _set_name(self, number: int, name: bytes) -> None:
         page = number >> PAGE_BITS
         if page != self._open_page:
-            self._close_page()
+            self._flush_open_page()
             self._open_page = page
-            self._open_names = self._pages[page].all()
+            self._open_names = self._pages[page].names()
         self._open_names[number & PAGE_MASK] = name
 
-    def _close_page(self) -> None:
+    def _flush_open_page(self) -> None:
         if self._open_page is not None:
-            self._pages[self._open_page] = name_page(self._open_names)
+            self._pages[self._open_page] = build_name_page(self._open_names)
             self._open_page = None
 
-    def _new_number(self) -> int:
+    def _allocate_number(self) -> int:
         if self._free:
             return self._free.pop()
-        if self.used == NUMBERS_MOST:
-            raise IndexFull(f"expected at most {NUMBERS_MOST}")
+        if self.used == MAX_NUMBERS:
+            raise IndexFull(f"expected at most {MAX_NUMBERS}")
         if self.used & PAGE_MASK == 0:
-            self._pages.append(name_page([b""] * PAGE_SIZE))
+            self._pages.append(build_name_page([b""] * PAGE_SIZE))
         self.used += 1
         return self.used - 1
 
-    def _own_shard(self, which: int) -> array[int]:
-        if which not in self._own_shards:
-            shard = self._shards[which][:]
-            self._shards[which] = shard
-            self._own_shards[which] = len(shard) - shard.count(0)
-        return self._shards[which]
-
-    def _index(self, hashed: int, number: int) -> None:
-        which = hashed & SHARD_MASK
-        shard = self._own_shard(which)
-        if 3 * (self._own_shards[which] + 1) > 2 * len(shard):
-            shard = self._shards[which] = _grown(shard)
-        _insert(shard, ((hashed >> SHARD_BITS) & TAG_MASK) << NUMBER_BITS | (number + 1))
-        self._own_shards[which] += 1
-
-    def _unindex(self, number: int) -> None:
-        """Remove one entry; those behind it move up, so that no probe ends too early."""
-        hashed = hash(decoded_name(self._name(number)))
-        which = hashed & SHARD_MASK
-        shard = self._own_shard(which)
+    def _writable_shard(self, shard_index: int) -> array[int]:
+        if shard_index not in self._copied_shard_sizes:
+            shard = self._shards[shard_index][:]
+            self._shards[shard_index] = shard
+            self._copied_shard_sizes[shard_index] = len(shard) - shard.count(0)
+        return self._shards[shard_index]
+
+    def _add_to_index(self, name_hash: int, number: int) -> None:
+        shard_index = name_hash & SHARD_MASK
+        shard = self._writable_shard(shard_index)
+        if 3 * (self._copied_shard_sizes[shard_index] + 1) > 2 * len(shard):
+            shard = self._shards[shard_index] = _grow_shard(shard)
+        _insert_entry(shard, ((name_hash >> SHARD_BITS) & TAG_MASK) << NUMBER_BITS | (number + 1))
+        self._copied_shard_sizes[shard_index] += 1
+
+    def _remove_from_index(self, number: int) -> None:
+        """Removes one entry and reinserts those after it, so that no probe sequence ends too early."""
+        name_hash = hash(decode_name(self._name(number)))
+        shard_index = name_hash & SHARD_MASK
+        shard = self._writable_shard(shard_index)
         mask = len(shard) - 1
-        slot = (hashed >> SHARD_BITS) & mask
+        slot = (name_hash >> SHARD_BITS) & mask
         while shard[slot] & NUMBER_MASK != number + 1:
             slot = (slot + 1) & mask
         shard[slot] = 0
-        self._own_shards[which] -= 1
+        self._copied_shard_sizes[shard_index] -= 1
         slot = (slot + 1) & mask
         while entry := shard[slot]:
             shard[slot] = 0
-            _insert(shard, entry)
+            _insert_entry(shard, entry)
             slot = (slot + 1) & mask
 
 
 class NumberSet:
-    """Numbers from 0 on, a byte each."""
+    """A set of small non-negative integers, stored as one byte each."""
 
     def __init__(self) -> None:
-        self._marks = bytearray()
+        self._present = bytearray()
 
     def __contains__(self, number: int) -> bool:
-        return number < len(self._marks) and self._marks[number] == 1
+        return number < len(self._present) and self._present[number] == 1
 
     def add(self, number: int) -> bool:
-        """False where it is there already."""
-        if number >= len(self._marks):
-            self._marks.extend(bytes(number + 1 - len(self._marks)))
-        was_there = self._marks[number] == 1
-        self._marks[number] = 1
-        return not was_there
+        """Returns False if the number was already in the set."""
+        if number >= len(self._present):
+            self._present.extend(bytes(number + 1 - len(self._present)))
+        already_present = self._present[number] == 1
+        self._present[number] = 1
+        return not already_present
 
 
-def _insert(shard: array[int], entry: int) -> None:
+def _insert_entry(shard: array[int], entry: int) -> None:
     mask = len(shard) - 1
     slot = (entry >> NUMBER_BITS) & mask
     while shard[slot]:
@@ -259,12 +261,12 @@
     shard[slot] = entry
 
 
-def _grown(shard: array[int]) -> array[int]:
-    slots = max(SHARD_LEAST, 2 * len(shard))
-    if slots > SHARD_MOST:
-        raise IndexFull("the hashes of the names are too uneven")
+def _grow_shard(shard: array[int]) -> array[int]:
+    slots = max(MIN_SHARD_SLOTS, 2 * len(shard))
+    if slots > MAX_SHARD_SLOTS:
+        raise IndexFull("hashes of the names are too unevenly distributed")
     larger = array("I", bytes(4 * slots))
     for entry in shard:
         if entry:
-            _insert(larger, entry)
+            _insert_entry(larger, entry)
     return larger
--- a/limeridge/configuration/tables.py
+++ b/limeridge/configuration/tables.py
@@ -1,8 +1,8 @@
-"""All tables of one revision, their digest, and the editor that makes the next one's.
+"""All tables of one revision, their digest, and the editor that builds the next revision.
 
-It owns how a change acts on the tables, and the digest of what they hold: the sum of the hashes of all
-entries, so that a change costs one or two of them and the order in which entries came does not matter. It
-must never change tables that are built, nor leave them half changed.
+This module defines how a change is applied to the tables, and the digest of their content. The digest is the
+sum of the hashes of all entries, so a change costs one or two hashes and the order in which entries were
+added does not matter. Tables are immutable once built and never left partly changed.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
     RemoveRoute,
     RemoveTenant,
     SetClassLimit,
-    number_bytes,
-    packed,
-    text_bytes,
+    encode_fields,
+    encode_number,
+    encode_text,
 )
 from limeridge.configuration.routes import RouteFault, RouteTable, RouteTableEditor
 from limeridge.configuration.tenants import TenantFault, TenantTable, TenantTableEditor
@@ -29,13 +29,13 @@
 DIGEST_MASK = (1 << (8 * DIGEST_BYTES)) - 1
 
 
-class CantApply(Exception):
-    """A change does not fit the tables that it is to be made to."""
+class InapplicableChange(Exception):
+    """A change refers to an entry or class that the tables do not have, or exceeds a bound."""
 
 
 @dataclass(slots=True, frozen=True)
 class ClassLimits:
-    """The classes by number, and the share of an instance's capacity that is kept for each."""
+    """The classes by number, and the share of an instance's capacity that is reserved for each."""
 
     names: tuple[str, ...] = ()
     shares: tuple[float, ...] = ()
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tables:
-    """What is in force by one revision. `digest` covers tenants, routes and class limits."""
+    """The content of one revision. `digest` covers tenants, routes and class limits."""
 
     tenants: TenantTable
     routes: RouteTable
@@ -61,15 +61,16 @@
         return Tables(TenantTable.empty(), RouteTable.empty(), limits, limits_digest(limits))
 
     def class_of(self, path: str) -> str | None:
-        """The name of the class that a path leads to."""
+        """Returns the name of the class that a path is routed to, or None if no route matches."""
         number = self.routes.find(path)
         return None if number is None else self.limits.names[number]
 
 
 class TablesEditor:
-    """The tables after `tables`, a change at a time. After CantApply the editor is of no use.
+    """Builds modified tables from `tables`, one change at a time.
 
-    `now` and `retired_until` are microseconds of the process' own clock, see TenantTableEditor.
+    The editor must not be used after InapplicableChange. `now` and `retired_until` are microseconds of the
+    process' own clock, see TenantTableEditor.
     """
 
     def __init__(self, tables: Tables, *, now: int, retired_until: int | None = None) -> None:
@@ -79,12 +80,12 @@
         self.digest = tables.digest
 
     def apply(self, changes: Iterable[Change]) -> None:
-        """Raises CantApply."""
+        """Applies the changes in order. Raises InapplicableChange."""
         try:
             for change in changes:
                 self._apply(change)
         except (TenantFault, RouteFault) as fault:
-            raise CantApply(fault.fault) from None
+            raise InapplicableChange(fault.fault) from None
 
     def build(self) -> Tables:
         return Tables(self._tenants.build(), self._routes.build(), self._limits, self.digest)
@@ -103,84 +104,85 @@
                 self._set_class_limit(class_name, share)
 
     def _put_tenant(self, name: str, quota: float) -> None:
-        before = self._tenants.get(name)
+        previous = self._tenants.get(name)
         self._tenants.put(name, quota)
-        self._replace(
-            None if before is None else tenant_digest(name, before),
+        self._update_digest(
+            None if previous is None else tenant_digest(name, previous),
             tenant_digest(name, quota),
         )
 
     def _remove_tenant(self, name: str) -> None:
-        before = self._tenants.get(name)
-        if before is None:
-            raise CantApply(f"there is no tenant {name!r}")
+        previous = self._tenants.get(name)
+        if previous is None:
+            raise InapplicableChange(f"there is no tenant {name!r}")
         self._tenants.remove(name)
-        self._replace(tenant_digest(name, before), None)
+        self._update_digest(tenant_digest(name, previous), None)
 
     def _put_route(self, prefix: str, class_name: str) -> None:
         number = self._limits.find(class_name)
         if number is None:
-            raise CantApply(f"there is no class {class_name!r}")
-        before = self._routes.get(prefix)
+            raise InapplicableChange(f"there is no class {class_name!r}")
+        previous = self._routes.get(prefix)
         self._routes.put(prefix, number)
-        self._replace(
-            None if before is None else route_digest(prefix, self._limits.names[before]),
+        self._update_digest(
+            None if previous is None else route_digest(prefix, self._limits.names[previous]),
             route_digest(prefix, class_name),
         )
 
     def _remove_route(self, prefix: str) -> None:
-        before = self._routes.get(prefix)
-        if before is None:
-            raise CantApply(f"there is no route {prefix!r}")
+        previous = self._routes.get(prefix)
+        if previous is None:
+            raise InapplicableChange(f"there is no route {prefix!r}")
         self._routes.remove(prefix)
-        self._replace(route_digest(prefix, self._limits.names[before]), None)
+        self._update_digest(route_digest(prefix, self._limits.names[previous]), None)
 
     def _set_class_limit(self, class_name: str, share: float) -> None:
         number = self._limits.find(class_name)
         if number is None:
-            raise CantApply(f"there is no class {class_name!r}")
-        before = limits_digest(self._limits)
+            raise InapplicableChange(f"there is no class {class_name!r}")
+        previous = limits_digest(self._limits)
         self._limits = self._limits.with_share(number, float(share))
-        self._replace(before, limits_digest(self._limits))
+        self._update_digest(previous, limits_digest(self._limits))
 
-    def _replace(self, before: int | None, after: int | None) -> None:
-        self.digest = (self.digest - (before or 0) + (after or 0)) & DIGEST_MASK
+    def _update_digest(self, previous: int | None, updated: int | None) -> None:
+        self.digest = (self.digest - (previous or 0) + (updated or 0)) & DIGEST_MASK
 
 
 def tenant_digest(name: str, quota: float) -> int:
-    return _hashed(packed(b"tenant", text_bytes(name), number_bytes(quota)))
+    return _hash_as_int(encode_fields(b"tenant", encode_text(name), encode_number(quota)))
 
 
 def route_digest(prefix: str, class_name: str) -> int:
-    return _hashed(packed(b"route", text_bytes(prefix), text_bytes(class_name)))
+    return _hash_as_int(encode_fields(b"route", encode_text(prefix), encode_text(class_name)))
 
 
 def limits_digest(limits: ClassLimits) -> int:
-    """Of all classes as one, for their order counts."""
-    return _hashed(
-        packed(b"classes", *map(text_bytes, limits.names), *map(number_bytes, limits.shares)),
+    """Hashes all classes as one entry, because their order is significant."""
+    return _hash_as_int(
+        encode_fields(b"classes", *map(encode_text, limits.names), *map(encode_number, limits.shares)),
     )
 
 
 def sorted_tenants(tables: Tables) -> list[tuple[str, float]]:
-    """The order in which tenants are told to others; the same whatever the tables went through."""
+    """Returns tenants with quotas, sorted by name: independent of the history of the tables."""
     tenants = tables.tenants
     return sorted((tenants.name(number), tenants.quota(number)) for number in tenants.numbers())
 
 
 def sorted_routes(tables: Tables) -> list[tuple[str, str]]:
+    """Returns prefixes with class names, sorted by prefix: independent of the history of the tables."""
     names = tables.limits.names
     return sorted((route.prefix, names[route.class_number]) for route in tables.routes.routes())
 
 
 def canonical_bytes(tables: Tables) -> Iterator[bytes]:
-    """What the tables hold, entry by entry, as bytes to be compared: equal where the tables are."""
-    yield packed(*map(text_bytes, tables.limits.names), *map(number_bytes, tables.limits.shares))
+    """Yields the content entry by entry, as bytes that are equal if and only if the tables are."""
+    yield encode_fields(*map(encode_text, tables.limits.names), *map(encode_number, tables.limits.shares))
     for name, quota in sorted_tenants(tables):
-        yield packed(text_bytes(name), number_bytes(quota))
+        yield encode_fields(encode_text(name), encode_number(quota))
     for prefix, class_name in sorted_routes(tables):
-        yield packed(text_bytes(prefix), text_bytes(class_name))
+        yield encode_fields(encode_text(prefix), encode_text(class_name))
 
 
-def _hashed(data: bytes) -> int:
+def _hash_as_int(data: bytes) -> int:
     return int.from_bytes(blake2b(data, digest_size=DIGEST_BYTES).digest(), "big")
--- a/limeridge/net/service.py
+++ b/limeridge/net/service.py
@@ -26,7 +26,7 @@
 
 from limeridge import __version__
 from limeridge.config import Setup, Unusable
-from limeridge.configuration.application import FIXED_FOR_MEMBERS, revised
+from limeridge.configuration.application import FIXED_FOR_MEMBERS, plan_revision
 from limeridge.configuration.reading import Steps, run_turn
 from limeridge.facade import (
     RESULTS_KEPT,
@@ -420,7 +420,7 @@
         """Puts a new configuration in force. Open txns keep the revision under which they arrived. Settings
         on which open txns, runs and the brain's statistics depend stay as they are until a restart."""
         fixed = frozenset[str]() if self.peers is None else FIXED_FOR_MEMBERS
-        revision = revised(self.setup, new, fixed)
+        revision = plan_revision(self.setup, new, fixed)
         setup = revision.setup
         self.facade.revise(setup.plain, setup.tenants.quota)
         self.setup, self.callers.decoder.tenants, self.skippable_calls = (
