--- a/limeridge/facade.py
+++ b/limeridge/facade.py
@@ -20,29 +20,33 @@
 from limeridge.interface import Decision, Outcome, Stage, Txn, Verb
 from limeridge.words import GAUGES
 
-RESULTS_KEPT = 8 << 20  # bytes of results kept for repeats at the most; the oldest go first, their keys stay
-RESULT_TAKES = 2_000  # bytes that a kept txn takes besides its result
-OVERDUE = 20_000  # past the due time the guard answers what the brain did not, against a defect there
-RECOVER = 0.05  # seconds after a defect until the brain is asked again
+MAX_RESULTS_BYTES = (
+    8 << 20
+)  # bytes of results kept for repeats at the most; the oldest go first, their keys stay
+RESULT_OVERHEAD_BYTES = 2_000  # bytes that a kept txn takes besides its result
+OVERDUE_MARGIN_US = (
+    20_000  # past the due time the guard answers what the brain did not, against a defect there
+)
+DEFECT_RETRY_DELAY_S = 0.05  # seconds after a defect until the brain is asked again
 
 
-class Do(Enum):
+class NextAction(Enum):
     """What a txn's handler does next."""
 
     RUN = "run"
     CALL = "call"  # with `time_out` in microseconds
-    GO_ON = "go on without the call"
+    SKIP_CALL = "go on without the call"
     WAIT = "wait for news of the run"
     DONE = "done"
 
 
 @dataclass(slots=True, frozen=True)
 class Step:
-    do: Do
-    time_out: int = 0
+    action: NextAction
+    time_out_us: int = 0
 
 
-class End(Enum):
+class EndStatus(Enum):
     """How a run or a call went, in words of what it proves."""
 
     OK = "ok"
@@ -56,27 +60,27 @@
 
 
 OUTCOMES = {
-    End.OK: Outcome.OK,
-    End.FAILED: Outcome.ERROR,
-    End.FULL: Outcome.FULL,
-    End.TIMED_OUT: Outcome.TIMEOUT,
-    End.UNREACHED: Outcome.CONNECT_FAILED,
-    End.BROKEN: Outcome.RESET,
-    End.STOPPED: Outcome.CANCELLED,
-    End.NEVER_BEGAN: Outcome.MOOT,
+    EndStatus.OK: Outcome.OK,
+    EndStatus.FAILED: Outcome.ERROR,
+    EndStatus.FULL: Outcome.FULL,
+    EndStatus.TIMED_OUT: Outcome.TIMEOUT,
+    EndStatus.UNREACHED: Outcome.CONNECT_FAILED,
+    EndStatus.BROKEN: Outcome.RESET,
+    EndStatus.STOPPED: Outcome.CANCELLED,
+    EndStatus.NEVER_BEGAN: Outcome.MOOT,
 }
 
 
 @dataclass(slots=True, frozen=True)
-class Ended:
+class RunEnded:
     """A run is over; `doc` is its result as it came."""
 
-    end: End
+    end: EndStatus
     doc: str = ""
 
 
 @dataclass(slots=True, frozen=True)
-class Blocked:
+class RunBlocked:
     """A run waits for the call with this body, asked for in notice `cursor`."""
 
     cursor: int
@@ -84,18 +88,18 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Called:
+class CallEnded:
     """A call is over after `spent` microseconds."""
 
-    end: End
-    spent: int
+    end: EndStatus
+    spent_us: int
     body: bytes = b""
 
 
-News = Ended | Blocked | Called
+RunEvent = RunEnded | RunBlocked | CallEnded
 
 
-class Kind(Enum):
+class AnswerKind(Enum):
     SETTLED = "settled"
     DECLINED = "declined"
     VOIDED = "voided"
@@ -105,29 +109,29 @@
 class Answer:
     """The final answer of a txn."""
 
-    kind: Kind
+    kind: AnswerKind
     doc: str = ""
-    come_back: int = 0  # microseconds to stay away
-    not_elsewhere: bool = False
+    retry_after_us: int = 0  # microseconds to stay away
+    no_failover: bool = False
     why: str = ""
 
 
 @dataclass(slots=True, eq=False)
-class Intake:
+class Request:
     """A txn as it was read: `age` and `patience` are microseconds at the reading, `doc` stays as it came."""
 
     ref: str
-    entry: str  # the product's name out there
+    product_name: str  # the product's name out there
     product: int
     customer: int
     caller: int
-    age: int
-    patience: int
+    age_us: int
+    remaining_wait_us: int
     size_kb: float
     doc: str
     answer: Callable[[Answer], None]
     resent: bool = False
-    effort: int = 0
+    expected_work_us: int = 0
     key: str = ""
 
 
@@ -135,19 +139,19 @@
 class Entry:
     """What the facade holds of an open or remembered txn."""
 
-    intake: Intake
+    request: Request
     txn: Txn
     pending: Deferred[Step] | None = None
     step: Step | None = None  # decided, not handed out yet
     answered: bool = False
-    joined: list[Entry] = field(default_factory=list)  # repeats that wait for its end
+    waiting_repeats: list[Entry] = field(default_factory=list)  # repeats that wait for its end
     prior: Entry | None = None  # the try whose result this one shares
     result: str | None = None
 
 
 class LogSink(Protocol):
     def event(self, event: str, code: str = "", **fields: object) -> None: ...
-    def fault(self, event: str, trouble: object, code: str = "exception", **fields: object) -> None: ...
+    def fault(self, event: str, error: object, code: str = "exception", **fields: object) -> None: ...
 
 
 class Facade:
@@ -155,388 +159,399 @@
 
     def __init__(
         self,
-        plain: Mapping[str, Any],
+        settings: Mapping[str, Any],
         seed: int,
         clock: Any,
         log: LogSink,
         wake: Callable[[], None],
-        results_most: int = RESULTS_KEPT,
+        max_results_bytes: int = MAX_RESULTS_BYTES,
         quotas: Quotas | None = None,
     ) -> None:
-        self.plain, self.seed, self.clock, self.log, self.wake = dict(plain), seed, clock, log, wake
-        self.gauges = [GAUGES.get(name, name) for name in str(plain.get("instance.gauges", "")).split(",")]
+        self.settings, self.seed, self.clock, self.log, self.wake = dict(settings), seed, clock, log, wake
+        self.gauges = [GAUGES.get(name, name) for name in str(settings.get("instance.gauges", "")).split(",")]
         self.healthy = False
         self.value: float | None = None
-        self.idle_limit = int(plain.get("instance.idle", 0))
-        self.allowed: int | None = None  # calls in hand, as last told; None: the settings' own share
-        self.serial = 0
+        self.idle_limit = int(settings.get("instance.idle", 0))
+        self.call_limit: int | None = None  # calls in hand, as last told; None: the settings' own share
+        self.last_ref = 0
         self.open: dict[int, Entry] = {}
         self.by_ref: dict[str, Entry] = {}
         self.keys: dict[tuple[int, str], list[tuple[Entry, int]]] = {}  # tries of a key, and until when
-        self.keyed: dict[int, Entry] = {}
+        self.keyed_entries: dict[int, Entry] = {}
         self.prune_at = 256
         self.results: OrderedDict[Entry, int] = OrderedDict()
-        self.results_size, self.results_most = 0, results_most
+        self.results_bytes, self.max_results_bytes = 0, max_results_bytes
         self.timer: Any = None
-        self.pulling = False
-        self.soon: Any = None  # the timer of the next asking
-        self.touched: deque[Entry] = deque()
-        self.ready_joins: list[Entry] = []
-        self.skews: dict[int, int] = {}  # by product, the longest that its txns may be read late
-        self._note_skews()
-        self.brain = Brain(self.plain, seed, self.now(), quotas)
-        self._pull()
+        self.applying_decisions = False
+        self.decision_timer: Any = None  # the timer of the next asking
+        self.changed_entries: deque[Entry] = deque()
+        self.ready_repeats: list[Entry] = []
+        self.max_read_delays_us: dict[int, int] = {}  # by product, the longest that its txns may be read late
+        self._update_max_read_delays()
+        self.brain = Brain(self.settings, seed, self.now(), quotas)
+        self._apply_decisions()
 
     def now(self) -> int:
         return int(self.clock.seconds() * 1_000_000)
 
     # ---- what the network code calls
 
-    def boot(self, cold: bool, ago: int) -> None:
+    def handle_kernel_boot(self, cold: bool, ago: int) -> None:
         """The kernel came up `ago` microseconds ago: its speed grows from then on, not from our own start."""
-        self._tell(self.brain.booted, cold, self.now() - ago)
-        self._pull()
+        self._notify_brain(self.brain.booted, cold, self.now() - ago)
+        self._apply_decisions()
 
-    def pick(self, intake: Intake) -> Deferred[Step]:
+    def submit(self, request: Request) -> Deferred[Step]:
         """Waits until the txn may run (RUN) or needs nothing more (DONE): its answer went out by then."""
         now = self.now()
-        if self._misused(intake, now):
+        if self._is_key_conflict(request, now):
             self.log.event("bad-message", "key of another request")
-            intake.answer(Answer(Kind.VOIDED, why="key of another request"))
-            return succeed(Step(Do.DONE))
-        self.serial += 1
-        prior = self._prior(intake, now)
+            request.answer(Answer(AnswerKind.VOIDED, why="key of another request"))
+            return succeed(Step(NextAction.DONE))
+        self.last_ref += 1
+        prior = self._find_prior(request, now)
         try:
             txn = self.brain.arrived(
                 now,
-                self.serial,
-                intake.product,
-                customer=intake.customer,
-                caller=intake.caller,
-                patience=intake.patience,
-                age=intake.age,
-                size_kb=intake.size_kb,
-                resent=intake.resent,
+                self.last_ref,
+                request.product,
+                customer=request.customer,
+                caller=request.caller,
+                patience=request.remaining_wait_us,
+                age=request.age_us,
+                size_kb=request.size_kb,
+                resent=request.resent,
                 prior=prior.txn if prior else None,
                 repeat=prior is not None,
-                effort=intake.effort,
+                effort=request.expected_work_us,
             )
-        except Exception as trouble:
-            self.log.fault("txn-fault", trouble, ref=intake.ref)
-            intake.answer(Answer(Kind.VOIDED, why="defect"))
-            return succeed(Step(Do.DONE))
-        entry = Entry(intake, txn)
-        self.open[self.serial] = self.by_ref[intake.ref] = entry
-        if intake.key:
-            self._remember(entry, now)
-        return self._hand_out(entry)
-
-    def report(self, intake: Intake, news: News) -> Deferred[Step]:
+        except Exception as error:
+            self.log.fault("txn-fault", error, ref=request.ref)
+            request.answer(Answer(AnswerKind.VOIDED, why="defect"))
+            return succeed(Step(NextAction.DONE))
+        entry = Entry(request, txn)
+        self.open[self.last_ref] = self.by_ref[request.ref] = entry
+        if request.key:
+            self._record_attempt(entry, now)
+        return self._await_step(entry)
+
+    def report(self, request: Request, event: RunEvent) -> Deferred[Step]:
         """How a run or a call went; waits for the next step, WAIT where none is due before more news."""
-        entry = self.by_ref.get(intake.ref)
-        if entry is None or entry.intake is not intake:
-            return succeed(Step(Do.DONE))
+        entry = self.by_ref.get(request.ref)
+        if entry is None or entry.request is not request:
+            return succeed(Step(NextAction.DONE))
         now, txn = self.now(), entry.txn
         try:
-            if isinstance(news, Blocked):
+            if isinstance(event, RunBlocked):
                 self.brain.needs_call(now, txn)
-            elif isinstance(news, Called):
-                self.brain.call_ended(now, txn, OUTCOMES[news.end], news.spent)
+            elif isinstance(event, CallEnded):
+                self.brain.call_ended(now, txn, OUTCOMES[event.end], event.spent_us)
             else:
-                self._end(entry, news, now)
-        except Exception as trouble:
-            self.log.fault("txn-fault", trouble, ref=intake.ref)
-            self._final(entry, Answer(Kind.VOIDED, why="defect"))
-        return self._hand_out(entry)
+                self._end_run(entry, event, now)
+        except Exception as error:
+            self.log.fault("txn-fault", error, ref=request.ref)
+            self._send_answer(entry, Answer(AnswerKind.VOIDED, why="defect"))
+        return self._await_step(entry)
 
-    def interrupt(self, intake: Intake) -> None:
+    def interrupt(self, request: Request) -> None:
         """More news of a run came while `report` still waits: it lets go, the handler must read the news."""
-        entry = self.by_ref.get(intake.ref)
+        entry = self.by_ref.get(request.ref)
         if entry is not None and entry.pending is not None and entry.txn.ran and entry.step is None:
-            entry.step = Step(Do.WAIT)
-            self._hand_over(entry)
+            entry.step = Step(NextAction.WAIT)
+            self._deliver_step(entry)
 
-    def gone(self, intake: Intake) -> None:
+    def cancel_answer(self, request: Request) -> None:
         """The caller waits no more: no answer is owed."""
-        entry = self.by_ref.get(intake.ref)
-        if entry is not None and not entry.answered and entry.intake is intake:
+        entry = self.by_ref.get(request.ref)
+        if entry is not None and not entry.answered and entry.request is request:
             entry.answered = True
-            self._tell(self.brain.caller_gone, entry.txn)
-            self.touched.append(entry)
-            self._pull_soon()
+            self._notify_brain(self.brain.caller_gone, entry.txn)
+            self.changed_entries.append(entry)
+            self._schedule_decisions()
 
-    def give_up(self, intake: Intake, why: str) -> Step:
+    def abort(self, request: Request, why: str) -> Step:
         """A defect was met: the txn is answered as voided, whatever else is known of it. WAIT where its run
         is still to end."""
-        entry = self.by_ref.get(intake.ref)
-        if entry is None or entry.intake is not intake:
-            return Step(Do.DONE)
-        self._final(entry, Answer(Kind.VOIDED, why=why))
-        self._tell(self.brain.caller_gone, entry.txn)
-        self.touched.append(entry)
-        self._pull()
-        return Step(Do.DONE if entry.txn.stage is Stage.OVER else Do.WAIT)
+        entry = self.by_ref.get(request.ref)
+        if entry is None or entry.request is not request:
+            return Step(NextAction.DONE)
+        self._send_answer(entry, Answer(AnswerKind.VOIDED, why=why))
+        self._notify_brain(self.brain.caller_gone, entry.txn)
+        self.changed_entries.append(entry)
+        self._apply_decisions()
+        return Step(NextAction.DONE if entry.txn.stage is Stage.OVER else NextAction.WAIT)
 
     def tick(self, now: int, gauges: Sequence[float] | None) -> None:
         """Moves time; `gauges` in the settings' order, None where none could be had."""
         told = dict(zip(self.gauges, gauges, strict=False)) if gauges else {}
-        self._tell(self.brain.woke, 1, told, now=now)
-        self._pull()
+        self._notify_brain(self.brain.woke, 1, told, now=now)
+        self._apply_decisions()
 
-    def allow(self, calls: int) -> None:
+    def set_call_limit(self, calls: int) -> None:
         """Calls that may be in hand from now on, where the instance's share changes while it runs."""
-        if calls != self.allowed:
-            self.allowed = calls
-            self._tell(self.brain.share, calls)
+        if calls != self.call_limit:
+            self.call_limit = calls
+            self._notify_brain(self.brain.share, calls)
 
-    def revise(self, plain: Mapping[str, Any], quotas: Quotas | None) -> None:
+    def revise(self, settings: Mapping[str, Any], quotas: Quotas | None) -> None:
         """Settings of another revision, with the same classes by number, and the quotas of its tenants: for
         what comes from now on. Raises what the brain raises, and then nothing is changed."""
-        idle = int(plain.get("instance.idle", 0))
-        self.brain.revise(self.now(), dict(plain), quotas)
-        if idle != int(self.plain.get("instance.idle", 0)):
+        idle = int(settings.get("instance.idle", 0))
+        self.brain.revise(self.now(), dict(settings), quotas)
+        if idle != int(self.settings.get("instance.idle", 0)):
             self.idle_limit = idle
-        self.plain = dict(plain)
-        self._note_skews()
+        self.settings = dict(settings)
+        self._update_max_read_delays()
 
-    def _note_skews(self) -> None:
+    def _update_max_read_delays(self) -> None:
         """What came under an earlier revision may still be read as late as that one allows."""
-        for product in range(int(self.plain.get("products.count", 0))):
-            expiry = int(self.plain.get(f"products.{product}.expiry", 0))
-            self.skews[product] = max(self.skews.get(product, 0), expiry)
+        for product in range(int(self.settings.get("products.count", 0))):
+            expiry = int(self.settings.get(f"products.{product}.expiry", 0))
+            self.max_read_delays_us[product] = max(self.max_read_delays_us.get(product, 0), expiry)
 
     def guard(self) -> None:
         """Against a txn that the brain forgot: past its due time it is answered from here. The brain is asked
         first; after a pause of the machine this may come before its own wake-up."""
         now = self.now()
-        late = [e for e in self.open.values() if not e.answered and e.txn.due < now - OVERDUE]
-        if late:
+        overdue = [e for e in self.open.values() if not e.answered and e.txn.due < now - OVERDUE_MARGIN_US]
+        if overdue:
             self.tick(now, None)
-        for entry in [e for e in late if not e.answered]:
-            self.log.event("overdue", "guard", ref=entry.intake.ref)
-            self.give_up(entry.intake, "overdue")
+        for entry in [e for e in overdue if not e.answered]:
+            self.log.event("overdue", "guard", ref=entry.request.ref)
+            self.abort(entry.request, "overdue")
 
     def leave(self, budget: int, ago: int = 0) -> None:
         """The notice to leave, which came `ago` microseconds ago; the process is killed `budget` microseconds
         after it."""
-        self._tell(self.brain.leave, budget, ago)
-        self._pull()
+        self._notify_brain(self.brain.leave, budget, ago)
+        self._apply_decisions()
 
     def owed(self) -> int:
         """Txns without a final answer whose callers still wait."""
         return sum(not entry.answered for entry in self.open.values())
 
-    def _tell(self, told: Callable[..., object], *what: object, now: int | None = None) -> None:
+    def _notify_brain(self, told: Callable[..., object], *what: object, now: int | None = None) -> None:
         """An input to the brain; a defect there must not reach whoever brought it."""
         try:
             told(self.now() if now is None else now, *what)
-        except Exception as trouble:
-            self.log.fault("brain-fault", trouble)
+        except Exception as error:
+            self.log.fault("brain-fault", error)
 
     # ---- the brain's decisions
 
-    def _hand_out(self, entry: Entry) -> Deferred[Step]:
+    def _await_step(self, entry: Entry) -> Deferred[Step]:
         waiting: Deferred[Step] = Deferred()
         entry.pending = waiting
-        self.touched.append(entry)
-        self._pull_soon()
+        self.changed_entries.append(entry)
+        self._schedule_decisions()
         return waiting
 
-    def _pull_soon(self) -> None:
+    def _schedule_decisions(self) -> None:
         """Once for all that is read in one turn of the loop: an asking looks at all lines and calls, and one
         for each event would cost the more the more traffic there is."""
-        if self.soon is None:
-            self.soon = self.clock.callLater(0, self._pull)
+        if self.decision_timer is None:
+            self.decision_timer = self.clock.callLater(0, self._apply_decisions)
 
-    def _pull(self) -> None:
+    def _apply_decisions(self) -> None:
         """Asks the brain until it has no more to say, then lets handlers go on: none may call into the
         brain while it is being asked."""
-        if self.pulling:
+        if self.applying_decisions:
             return
-        if self.soon is not None:
-            if self.soon.active():
-                self.soon.cancel()
-            self.soon = None
-        self.pulling = True
+        if self.decision_timer is not None:
+            if self.decision_timer.active():
+                self.decision_timer.cancel()
+            self.decision_timer = None
+        self.applying_decisions = True
         try:
             while True:
                 while (decision := self.brain.decide()) is not None:
-                    self._carry_out(decision)
-                if not self.ready_joins:
+                    self._apply_decision(decision)
+                if not self.ready_repeats:
                     break
-                self._end_join(self.ready_joins.pop())
-        except Exception as trouble:
-            self.log.fault("brain-fault", trouble)
-            self._arm(RECOVER)
+                self._end_repeat(self.ready_repeats.pop())
+        except Exception as error:
+            self.log.fault("brain-fault", error)
+            self._set_timer(DEFECT_RETRY_DELAY_S)
         finally:
-            self.pulling = False
-        while self.touched:
-            self._hand_over(self.touched.popleft())
+            self.applying_decisions = False
+        while self.changed_entries:
+            self._deliver_step(self.changed_entries.popleft())
 
-    def _hand_over(self, entry: Entry) -> None:
+    def _deliver_step(self, entry: Entry) -> None:
         """Fires what a handler waits for, if its txn has come that far."""
         stage = entry.txn.stage
         over = stage is Stage.OVER
         if over:
             self.open.pop(entry.txn.ref, None)
-            if self.by_ref.get(entry.intake.ref) is entry:
-                del self.by_ref[entry.intake.ref]
+            if self.by_ref.get(entry.request.ref) is entry:
+                del self.by_ref[entry.request.ref]
         if entry.pending is None:
             return
         if over:
-            step = Step(Do.DONE)
+            step = Step(NextAction.DONE)
         elif entry.step is not None:
             step = entry.step
         elif stage in (Stage.HELD, Stage.JOINED) or (stage is Stage.PARKED and not entry.answered):
             return
         else:
-            step = Step(Do.WAIT)
+            step = Step(NextAction.WAIT)
         entry.step = None
         waiting, entry.pending = entry.pending, None
         waiting.callback(step)
 
-    def _carry_out(self, decision: Decision) -> None:
+    def _apply_decision(self, decision: Decision) -> None:
         entry = None if decision.txn is None else self.open.get(decision.txn.ref)
         verb = decision.verb
         if verb is Verb.WAKE:
-            self._arm(max(0, decision.us - self.now()) / 1_000_000)
+            self._set_timer(max(0, decision.us - self.now()) / 1_000_000)
         elif verb is Verb.FITNESS:
             self.healthy = decision.flag
         elif verb is Verb.PUBLISH:
             self.value = decision.level
         elif verb is Verb.IDLE_LIMIT:
-            self.idle_limit = decision.us or int(self.plain.get("instance.idle", 0))
+            self.idle_limit = decision.us or int(self.settings.get("instance.idle", 0))
         elif verb is Verb.NOTE:
             self.log.event("note", text=decision.text)
         elif entry is None:
             return
         elif verb is Verb.DECLINE:
-            self._final(entry, Answer(Kind.DECLINED, come_back=decision.us, not_elsewhere=decision.flag))
+            self._send_answer(
+                entry, Answer(AnswerKind.DECLINED, retry_after_us=decision.us, no_failover=decision.flag)
+            )
         elif verb is Verb.VOID:
-            self._final(entry, Answer(Kind.VOIDED, why="given up"))
+            self._send_answer(entry, Answer(AnswerKind.VOIDED, why="given up"))
         elif verb is Verb.RUN:
-            entry.step = Step(Do.RUN)
+            entry.step = Step(NextAction.RUN)
         elif verb is Verb.CALL:
-            entry.step = Step(Do.CALL, decision.us)
+            entry.step = Step(NextAction.CALL, decision.us)
         elif verb is Verb.SKIP:
-            entry.step = Step(Do.GO_ON)
+            entry.step = Step(NextAction.SKIP_CALL)
         elif verb is Verb.MEMO:
-            self._remember(entry, self.now() + decision.us)
+            self._record_attempt(entry, self.now() + decision.us)
         elif verb is Verb.FORGET:
-            self._remember(entry, 0)
+            self._record_attempt(entry, 0)
         elif verb is Verb.ATTACH:
-            self._join(entry)
+            self._add_repeat(entry)
         # HALT: the kernel's protocol has no such command; the run goes on to its end, which frees its place.
         if entry is not None:
-            self.touched.append(entry)
+            self.changed_entries.append(entry)
 
-    def _final(self, entry: Entry, answer: Answer) -> None:
+    def _send_answer(self, entry: Entry, answer: Answer) -> None:
         if entry.answered:
             return
         entry.answered = True
         try:
-            entry.intake.answer(answer)
-        except Exception as trouble:
-            self.log.fault("answer-fault", trouble, ref=entry.intake.ref)
-
-    def _end(self, entry: Entry, news: Ended, now: int) -> None:
-        if news.end is End.OK:
-            self._final(entry, Answer(Kind.SETTLED, doc=news.doc))
-            if entry.intake.key:
-                self._keep_result(entry, news.doc)
+            entry.request.answer(answer)
+        except Exception as error:
+            self.log.fault("answer-fault", error, ref=entry.request.ref)
+
+    def _end_run(self, entry: Entry, event: RunEnded, now: int) -> None:
+        if event.end is EndStatus.OK:
+            self._send_answer(entry, Answer(AnswerKind.SETTLED, doc=event.doc))
+            if entry.request.key:
+                self._keep_result(entry, event.doc)
         else:
-            self._final(entry, Answer(Kind.VOIDED, why=f"run {news.end.value}"))
-            if news.end is End.NEVER_BEGAN and entry.intake.key:
-                self._forget(entry)
-        self.brain.ended(now, entry.txn, OUTCOMES[news.end], 0)
-        self.ready_joins += entry.joined
-        entry.joined = []
+            self._send_answer(entry, Answer(AnswerKind.VOIDED, why=f"run {event.end.value}"))
+            if event.end is EndStatus.NEVER_BEGAN and entry.request.key:
+                self._forget_attempt(entry)
+        self.brain.ended(now, entry.txn, OUTCOMES[event.end], 0)
+        self.ready_repeats += entry.waiting_repeats
+        entry.waiting_repeats = []
 
     # ---- keys, repeats, results
 
-    def _tries(self, intake: Intake, now: int) -> list[Entry]:
+    def _known_attempts(self, request: Request, now: int) -> list[Entry]:
         """All known tries under its key; kept ones count by when this one landed, not by when it is read."""
-        if not intake.key:
+        if not request.key:
             return []
         return [
             entry
-            for entry, until in self.keys.get((intake.product, intake.key), [])
-            if entry.txn.stage is not Stage.OVER or until > now - intake.age
+            for entry, until in self.keys.get((request.product, request.key), [])
+            if entry.txn.stage is not Stage.OVER or until > now - request.age_us
         ]
 
-    def _misused(self, intake: Intake, now: int) -> bool:
+    def _is_key_conflict(self, request: Request, now: int) -> bool:
         """Whether its key stands for another request, which has another body or tenant: no repeat, so it must
         not get that one's result; under a key that is taken it must not run either."""
         return any(
-            (entry.intake.doc, entry.intake.customer) != (intake.doc, intake.customer)
-            for entry in self._tries(intake, now)
+            (entry.request.doc, entry.request.customer) != (request.doc, request.customer)
+            for entry in self._known_attempts(request, now)
         )
 
-    def _prior(self, intake: Intake, now: int) -> Entry | None:
+    def _find_prior(self, request: Request, now: int) -> Entry | None:
         """The try that this one repeats: one that ran first of all, or one that is open here."""
-        tries = self._tries(intake, now)
-        return next((entry for entry in tries if entry.txn.ran), tries[-1] if tries else None)
+        attempts = self._known_attempts(request, now)
+        return next((entry for entry in attempts if entry.txn.ran), attempts[-1] if attempts else None)
 
-    def _remember(self, entry: Entry, until: int) -> None:
+    def _record_attempt(self, entry: Entry, until: int) -> None:
         """From the reading on, kept or not: two that are read together must know of each other. What ran
         stays for a while past its time, since txns are not read in the order of their landing."""
-        now, key = self.now(), (entry.intake.product, entry.intake.key)
-        skew = self.skews.get(entry.intake.product, 0)
-        tries = [
+        now, key = self.now(), (entry.request.product, entry.request.key)
+        max_read_delay_us = self.max_read_delays_us.get(entry.request.product, 0)
+        attempts = [
             (other, end)
             for other, end in self.keys.get(key, [])
             if other is not entry
-            and (other.txn.stage is not Stage.OVER or (other.txn.ran and end + skew > now))
+            and (other.txn.stage is not Stage.OVER or (other.txn.ran and end + max_read_delay_us > now))
         ]
-        self.keys[key] = [*tries, (entry, until)]
-        self.keyed[entry.txn.ref] = entry
-        if len(self.keyed) > self.prune_at:
+        self.keys[key] = [*attempts, (entry, until)]
+        self.keyed_entries[entry.txn.ref] = entry
+        if len(self.keyed_entries) > self.prune_at:
             self.keys = {
-                key: tries
-                for key, tries in self.keys.items()
-                if any(other.txn.stage is not Stage.OVER or end + skew > now for other, end in tries)
+                key: attempts
+                for key, attempts in self.keys.items()
+                if any(
+                    other.txn.stage is not Stage.OVER or end + max_read_delay_us > now
+                    for other, end in attempts
+                )
+            }
+            self.keyed_entries = {
+                other.txn.ref: other for attempts in self.keys.values() for other, _ in attempts
             }
-            self.keyed = {other.txn.ref: other for tries in self.keys.values() for other, _ in tries}
-            for old in [old for old in self.results if old.txn.ref not in self.keyed]:
-                self.results_size -= self.results.pop(old)
-            self.prune_at = 2 * len(self.keyed) + 256
+            for old in [old for old in self.results if old.txn.ref not in self.keyed_entries]:
+                self.results_bytes -= self.results.pop(old)
+            self.prune_at = 2 * len(self.keyed_entries) + 256
 
-    def _forget(self, entry: Entry) -> None:
+    def _forget_attempt(self, entry: Entry) -> None:
         """It never began: its key is free for the request that it belongs to."""
-        key = (entry.intake.product, entry.intake.key)
+        key = (entry.request.product, entry.request.key)
         self.keys[key] = [each for each in self.keys.get(key, []) if each[0] is not entry]
 
     def _keep_result(self, entry: Entry, doc: str) -> None:
         entry.result = doc
-        self.results[entry] = len(doc) + RESULT_TAKES
-        self.results_size += len(doc) + RESULT_TAKES
-        while self.results_size > self.results_most:
+        self.results[entry] = len(doc) + RESULT_OVERHEAD_BYTES
+        self.results_bytes += len(doc) + RESULT_OVERHEAD_BYTES
+        while self.results_bytes > self.max_results_bytes:
             oldest, size = self.results.popitem(last=False)
-            self.results_size -= size
+            self.results_bytes -= size
             oldest.result = None  # its repeats are voided from now on: it ran
 
-    def _join(self, entry: Entry) -> None:
+    def _add_repeat(self, entry: Entry) -> None:
         """Which try it repeats is the brain's to say: a dead one's place may have gone to another since."""
-        entry.prior = None if entry.txn.prior is None else self.keyed.get(entry.txn.prior.ref)
+        entry.prior = None if entry.txn.prior is None else self.keyed_entries.get(entry.txn.prior.ref)
         if entry.prior is not None and entry.prior.txn.stage is not Stage.OVER:
-            entry.prior.joined.append(entry)
+            entry.prior.waiting_repeats.append(entry)
         else:
-            self.ready_joins.append(entry)
+            self.ready_repeats.append(entry)
 
-    def _end_join(self, entry: Entry) -> None:
+    def _end_repeat(self, entry: Entry) -> None:
         """A repeat ends with what the txn it joined came to."""
         if entry.txn.stage is not Stage.OVER:
             result = entry.prior.result if entry.prior is not None else None
-            self._end(entry, Ended(End.FAILED) if result is None else Ended(End.OK, result), self.now())
-            self.touched.append(entry)
+            self._end_run(
+                entry,
+                RunEnded(EndStatus.FAILED) if result is None else RunEnded(EndStatus.OK, result),
+                self.now(),
+            )
+            self.changed_entries.append(entry)
 
     # ---- time
 
-    def _arm(self, delay: float) -> None:
+    def _set_timer(self, delay: float) -> None:
         self._cancel_timer()
-        self.timer = self.clock.callLater(delay, self._woke)
+        self.timer = self.clock.callLater(delay, self._on_timer)
 
-    def _woke(self) -> None:
+    def _on_timer(self) -> None:
         self.timer = None
         self.wake()
 
--- a/limeridge/net/callers.py
+++ b/limeridge/net/callers.py
@@ -24,7 +24,7 @@
 from zope.interface import implementer  # type: ignore[import-untyped]
 
 from limeridge.configuration.tenants import TenantTable
-from limeridge.facade import Answer, Intake, Kind
+from limeridge.facade import Answer, AnswerKind, Request
 from limeridge.net.admission_filter import admit_no_more
 from limeridge.net.log import Log
 
@@ -265,13 +265,13 @@
 
 def encode_answer(number: int, answer: Answer, value: float | None) -> bytes:
     data = said(value)
-    if answer.kind is Kind.SETTLED:
+    if answer.kind is AnswerKind.SETTLED:
         return frame(orjson.dumps({"jsonrpc": "2.0", "id": number, "result": {"doc": answer.doc} | data}))
-    if answer.kind is Kind.VOIDED:
+    if answer.kind is AnswerKind.VOIDED:
         return encode_error(number, VOIDED, answer.why or "failed", data)
-    if answer.come_back > 0:
-        data["w"] = answer.come_back / 1_000
-    if answer.not_elsewhere:
+    if answer.retry_after_us > 0:
+        data["w"] = answer.retry_after_us / 1_000
+    if answer.no_failover:
         data["l"] = 1
     return encode_error(number, DECLINED, answer.why or "turned away", data)
 
@@ -291,8 +291,8 @@
 
     shut: bool  # draining, and nothing new is taken any more
 
-    def serve(self, intake: Intake) -> None: ...
-    def gone(self, intake: Intake) -> None: ...
+    def serve(self, request: Request) -> None: ...
+    def gone(self, request: Request) -> None: ...
     def value(self) -> float | None: ...
     def idle_limit(self) -> int: ...
     def check(self, deep: bool, answer: Callable[[bool], None]) -> None: ...
@@ -307,7 +307,7 @@
     def __init__(self, callers: Callers) -> None:
         self.callers = callers
         self.frames = Frames()
-        self.open: dict[int, Intake] = {}
+        self.open: dict[int, Request] = {}
         self.seen: dict[int, None] = {}
         self.backlog: list[bytes] = []  # answers that the peer does not read yet
         self.backlog_size = 0
@@ -403,7 +403,7 @@
                 self.callers.service.check(message.deep, lambda ready: self.checked(message.id, ready))
             case Revoke(number, ref):
                 if number not in self.open:
-                    number = next((n for n, intake in self.open.items() if intake.ref == ref), 0)
+                    number = next((n for n, request in self.open.items() if request.ref == ref), 0)
                 if number in self.open:
                     self.callers.service.gone(self.open.pop(number))
                     self.taken_back += 1
@@ -431,7 +431,7 @@
         self.asked += 1
         # Both are told in Unix time, which may have stepped since: neither may leave what was told.
         age = min(max(0.0, self.callers.unix() * 1_000 - ask.landed), ask.patience or 60_000.0)
-        intake = Intake(
+        request = Request(
             ask.ref,
             ask.entry,
             ask.product,
@@ -446,17 +446,17 @@
             int(ask.effort * 1_000),
             ask.key,
         )
-        self.open[ask.id] = intake
+        self.open[ask.id] = request
         self.callers.strangers.pop(self, None)
-        self.callers.admit(intake)
+        self.callers.admit(request)
 
     def answer(self, number: int, answer: Answer) -> None:
         if self.open.pop(number, None) is not None:
             self.heard = self.callers.clock.seconds()
             self.send(encode_answer(number, answer, self.callers.service.value()))
-            if answer.kind is Kind.SETTLED:
+            if answer.kind is AnswerKind.SETTLED:
                 self.blame = self.taken_back = 0
-            elif answer.kind is Kind.VOIDED:
+            elif answer.kind is AnswerKind.VOIDED:
                 self.blamed(1)
             if self.spoiled and not self.open:
                 self.close(self.spoiled)
@@ -506,8 +506,8 @@
                 self.code = self.callers.parted(self)
         unanswered, self.open = list(self.open.values()), {}
         self.callers.left(self, len(unanswered))
-        for intake in unanswered:
-            self.callers.service.gone(intake)
+        for request in unanswered:
+            self.callers.service.gone(request)
 
     # A peer that does not read: answers wait here, bounded, and not in the transport.
 
@@ -680,17 +680,17 @@
         connection.clear_backlog()
         self.log.event("connection-end", connection.code, asked=connection.asked, unanswered=unanswered)
 
-    def admit(self, intake: Intake) -> None:
+    def admit(self, request: Request) -> None:
         """Bodies in hand are bounded: past the bound a txn is told at the door that it never ran."""
-        if self.held + taken(intake) > self.held_most:
+        if self.held + taken(request) > self.held_most:
             self.log.event("turned-away", "held-bodies")
-            intake.answer(Answer(Kind.DECLINED, why="no memory"))
+            request.answer(Answer(AnswerKind.DECLINED, why="no memory"))
             return
-        self.held += taken(intake)
-        self.service.serve(intake)
+        self.held += taken(request)
+        self.service.serve(request)
 
-    def released(self, intake: Intake) -> None:
-        self.held -= taken(intake)
+    def released(self, request: Request) -> None:
+        self.held -= taken(request)
 
     def sweep(self) -> None:
         """Closes what was silent past the limit: the farewell lets the peer close, so that nothing is on
@@ -731,9 +731,9 @@
             connection.close("drain")
 
 
-def taken(intake: Intake) -> int:
+def taken(request: Request) -> int:
     """Bytes of the process's memory that a txn in hand takes."""
-    return len(intake.doc) + TXN_TAKES
+    return len(request.doc) + TXN_TAKES
 
 
 class Rejected(Wire):
--- a/limeridge/net/kernel.py
+++ b/limeridge/net/kernel.py
@@ -19,7 +19,7 @@
 from twisted.internet.protocol import Protocol as Wire
 from twisted.python.failure import Failure
 
-from limeridge.facade import Blocked, End, Ended
+from limeridge.facade import EndStatus, RunBlocked, RunEnded
 from limeridge.net.log import Log
 
 LINE_MOST = 65_536  # bytes of a line
@@ -29,7 +29,12 @@
 HAND_OVER = 2.0  # seconds that a link which another replaced gets to end by itself
 FENCE = "fence"  # the ticket of the gauges asked for behind a cursor: its answer ends the repeated notices
 
-ENDS = {"ok": End.OK, "failed": End.FAILED, "halted": End.STOPPED, "void": End.NEVER_BEGAN}
+ENDS = {
+    "ok": EndStatus.OK,
+    "failed": EndStatus.FAILED,
+    "halted": EndStatus.STOPPED,
+    "void": EndStatus.NEVER_BEGAN,
+}
 
 
 class BadLine(Exception):
@@ -72,7 +77,7 @@
 
     cursor: int
     handle: str
-    news: Ended | Blocked | None
+    news: RunEnded | RunBlocked | None
 
 
 @dataclass(slots=True, frozen=True)
@@ -105,11 +110,11 @@
                 return Notice(
                     _cursor(value),
                     str(value["handle"]),
-                    Ended(ENDS[value["fate"]], str(value.get("arg") or "")),
+                    RunEnded(ENDS[value["fate"]], str(value.get("arg") or "")),
                 )
             case "IOREQ":
                 body = base64.b64decode(value.get("arg") or "", validate=True)
-                return Notice(_cursor(value), str(value["handle"]), Blocked(_cursor(value), body))
+                return Notice(_cursor(value), str(value["handle"]), RunBlocked(_cursor(value), body))
             case "INFO":
                 return Gauges(str(value["ticket"]), tuple(float(figure) for figure in value["figures"]))
             case "BOOTED":
@@ -151,7 +156,7 @@
     """What the link tells whoever wires it up."""
 
     def booted(self, cold: bool, ago: int) -> None: ...
-    def heard(self, ref: str, news: Ended | Blocked) -> bool: ...
+    def heard(self, ref: str, news: RunEnded | RunBlocked) -> bool: ...
 
 
 class Link(Wire):
@@ -436,4 +441,4 @@
         if command == "SCHED" or handle not in self.resent:
             never = command == "SCHED" and handle not in self.resent
             self.over(handle)
-            self.service.heard(handle, Ended(End.NEVER_BEGAN if never else End.FAILED))
+            self.service.heard(handle, RunEnded(EndStatus.NEVER_BEGAN if never else EndStatus.FAILED))
--- a/limeridge/net/ledger.py
+++ b/limeridge/net/ledger.py
@@ -18,7 +18,7 @@
 from twisted.internet.protocol import Protocol as Wire
 from twisted.python.failure import Failure
 
-from limeridge.facade import Called, End
+from limeridge.facade import CallEnded, EndStatus
 from limeridge.net.log import Log
 
 HEAD_MOST = 8_192  # bytes of a reply's head
@@ -94,10 +94,12 @@
         self.status, self.need = status, max(0, length)
 
 
-def proved(status: int, not_begun: bool) -> End:
+def proved(status: int, not_begun: bool) -> EndStatus:
     if status in (409, 503):
-        return End.FAILED if not not_begun else End.FULL if status == 503 else End.NEVER_BEGAN
-    return {200: End.OK, 504: End.TIMED_OUT}.get(status, End.FAILED)
+        return (
+            EndStatus.FAILED if not not_begun else EndStatus.FULL if status == 503 else EndStatus.NEVER_BEGAN
+        )
+    return {200: EndStatus.OK, 504: EndStatus.TIMED_OUT}.get(status, EndStatus.FAILED)
 
 
 def encode(host: str, ref: str, wait: int, body: bytes) -> bytes:
@@ -114,7 +116,7 @@
     def __init__(self, ledger: Ledger, ref: str, wait: int, body: bytes) -> None:
         self.ledger, self.ref, self.wait, self.body = ledger, ref, wait, body
         self.begun = ledger.reactor.seconds()
-        self.done: Deferred[Called] = Deferred()
+        self.done: Deferred[CallEnded] = Deferred()
         self.over = False
         self.way: Way | None = None
         self.timer = ledger.reactor.callLater(wait / 1_000_000, self.time_out)
@@ -126,15 +128,15 @@
             self.timer.cancel()
         return first
 
-    def end(self, end: End, body: bytes = b"") -> None:
+    def end(self, end: EndStatus, body: bytes = b"") -> None:
         if self._finish():
-            self.done.callback(Called(end, int((self.ledger.reactor.seconds() - self.begun) * 1e6), body))
+            self.done.callback(CallEnded(end, int((self.ledger.reactor.seconds() - self.begun) * 1e6), body))
 
     def time_out(self) -> None:
         # Never sent: the wait for a connection took all its time, and it proves that nothing ran.
         sent = self.way is not None and self.way.line is not None
         self._drop()
-        self.end(End.TIMED_OUT if sent else End.UNREACHED)
+        self.end(EndStatus.TIMED_OUT if sent else EndStatus.UNREACHED)
 
     def _drop(self) -> None:
         """Gives the call up: closing its connection tells the ledger."""
@@ -167,7 +169,7 @@
             reply = self.reply.feed(data)
         except BadReply:
             way.close("bad-reply")
-            way.call.end(End.BROKEN)
+            way.call.end(EndStatus.BROKEN)
             return
         if reply is not None:
             status, not_begun, body = reply
@@ -176,7 +178,7 @@
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         self.way.ended("broke-in-call")
-        self.way.call.end(End.BROKEN)  # passed over where the call is over already
+        self.way.call.end(EndStatus.BROKEN)  # passed over where the call is over already
 
 
 class Way(ClientFactory):
@@ -202,7 +204,7 @@
         call, gate = self.call, self.ledger.gate
         if gate is not None and not gate.still():  # the share may have lapsed while it was being opened
             self.close("share-lapsed")
-            call.end(End.UNREACHED)
+            call.end(EndStatus.UNREACHED)
             return
         line.transport.write(encode(self.ledger.host, call.ref, call.wait, call.body))
 
@@ -223,7 +225,7 @@
             self.ledger.again(self.call)  # nothing was sent, and the ledger is elsewhere now
         elif not self.code:
             self.ledger.log.event("ledger", "unreached", why=reason.getErrorMessage()[:200])
-            self.call.end(End.UNREACHED)
+            self.call.end(EndStatus.UNREACHED)
 
 
 class Ledger:
@@ -253,7 +255,7 @@
             if call.over:
                 continue
             if self.gate is not None and not self.gate.begin():
-                call.end(End.FULL)
+                call.end(EndStatus.FULL)
                 continue
             self.connections += 1
             call.way = Way(self, call)
--- a/limeridge/net/log.py
+++ b/limeridge/net/log.py
@@ -52,11 +52,11 @@
         if count <= MOST:
             self._write(event, code, fields)
 
-    def fault(self, event: str, trouble: object, code: str = "exception", **fields: object) -> None:
+    def fault(self, event: str, error: object, code: str = "exception", **fields: object) -> None:
         """An exception that was met and survived, with its traceback in the same line."""
-        met = trouble if isinstance(trouble, BaseException) else None
+        met = error if isinstance(error, BaseException) else None
         text = "".join(traceback.format_exception(met))[-4000:]
-        self.event(event, code, trouble=f"{type(trouble).__name__}: {trouble}"[:300], trace=text, **fields)
+        self.event(event, code, trouble=f"{type(error).__name__}: {error}"[:300], trace=text, **fields)
 
     def close_span(self) -> None:
         held_back = {kind: count - MOST for kind, count in self.counts.items() if count > MOST}
--- a/limeridge/net/service.py
+++ b/limeridge/net/service.py
@@ -28,17 +28,17 @@
 from limeridge.configuration.application import FIXED_FOR_MEMBERS, revised
 from limeridge.configuration.reading import Steps, run_turn
 from limeridge.facade import (
-    RESULTS_KEPT,
+    MAX_RESULTS_BYTES,
     Answer,
-    Blocked,
-    Called,
-    Do,
-    End,
-    Ended,
+    AnswerKind,
+    CallEnded,
+    EndStatus,
     Facade,
-    Intake,
-    Kind,
-    News,
+    NextAction,
+    Request,
+    RunBlocked,
+    RunEnded,
+    RunEvent,
     Step,
 )
 from limeridge.net.callers import SWEEP, Callers, Decoder, close_listener
@@ -81,20 +81,20 @@
 class Job:
     """One txn in hand: its news in order, for the one handler that reads them."""
 
-    def __init__(self, intake: Intake, may_skip: bool) -> None:
-        self.intake = intake
+    def __init__(self, request: Request, may_skip: bool) -> None:
+        self.request = request
         self.may_skip = may_skip  # by the revision under which it arrived
-        self.news: deque[News] = deque()
-        self.waiting: Deferred[News] | None = None
+        self.news: deque[RunEvent] = deque()
+        self.waiting: Deferred[RunEvent] | None = None
         self.call: Call | None = None
-        self.blocked: Blocked | None = None
+        self.blocked: RunBlocked | None = None
 
-    def next(self) -> Deferred[News]:
+    def next(self) -> Deferred[RunEvent]:
         """To be asked for only where no news stand by."""
         self.waiting = Deferred()
         return self.waiting
 
-    def tell(self, news: News) -> bool:
+    def tell(self, news: RunEvent) -> bool:
         """False where the handler waits for something else."""
         waiting, self.waiting = self.waiting, None
         if waiting is None:
@@ -132,7 +132,7 @@
             reactor,
             log,
             self.wake,
-            min(RESULTS_KEPT, budget // 8),
+            min(MAX_RESULTS_BYTES, budget // 8),
             setup.tenants.quota,
         )
         # Descriptors: half and a bit for callers, a few for ourselves; the kernel's link keeps its room.
@@ -165,7 +165,7 @@
         share = peers.share()
         if share is not None:
             self.ledger.gate = peers.gate
-            self.facade.allow(share)
+            self.facade.set_call_limit(share)
 
     def start(self) -> None:
         setup = self.setup
@@ -249,75 +249,75 @@
 
     # ---- a txn
 
-    def serve(self, intake: Intake) -> None:
-        if intake.ref in self.jobs:
+    def serve(self, request: Request) -> None:
+        if request.ref in self.jobs:
             self.log.event("bad-message", "ref in use")
-            intake.answer(Answer(Kind.VOIDED, why="ref in use"))
-            self.callers.released(intake)
+            request.answer(Answer(AnswerKind.VOIDED, why="ref in use"))
+            self.callers.released(request)
             return
-        job = self.jobs[intake.ref] = Job(intake, self.skips[intake.product])
+        job = self.jobs[request.ref] = Job(request, self.skips[request.product])
         ensureDeferred(self.handle(job)).addErrback(self.met, "txn-fault")
 
     async def handle(self, job: Job) -> None:
-        intake, step = job.intake, None
+        request, step = job.request, None
         try:
             while True:
                 try:
                     step = await self.next_step(job, step)
-                    if step.do is Do.DONE:
+                    if step.action is NextAction.DONE:
                         return
                     self.carry_out(job, step)
                 except Exception as trouble:
-                    self.log.fault("txn-fault", trouble, ref=intake.ref)
-                    step = self.facade.give_up(intake, "defect")
-                    if step.do is Do.DONE:
+                    self.log.fault("txn-fault", trouble, ref=request.ref)
+                    step = self.facade.abort(request, "defect")
+                    if step.action is NextAction.DONE:
                         return
         finally:
             if job.call is not None:
                 job.call.abandon()
-            self.jobs.pop(intake.ref, None)
-            self.kernel.over(intake.ref)
-            self.callers.released(intake)
+            self.jobs.pop(request.ref, None)
+            self.kernel.over(request.ref)
+            self.callers.released(request)
 
     async def next_step(self, job: Job, step: Step | None) -> Step:
         if step is None:
-            return await self.facade.pick(job.intake)
+            return await self.facade.submit(job.request)
         news = job.news.popleft() if job.news else await job.next()
-        if isinstance(news, Called) and news.end is End.OK:
+        if isinstance(news, CallEnded) and news.end is EndStatus.OK:
             self.reply(job, news.body)
-        elif isinstance(news, Blocked):
+        elif isinstance(news, RunBlocked):
             job.blocked = news
-        return await self.facade.report(job.intake, news)
+        return await self.facade.report(job.request, news)
 
     def reply(self, job: Job, body: bytes) -> None:
         if job.blocked is not None:
-            self.kernel.reply(job.intake.ref, body, job.blocked.cursor, job.may_skip)
+            self.kernel.reply(job.request.ref, body, job.blocked.cursor, job.may_skip)
 
     def carry_out(self, job: Job, step: Step) -> None:
-        intake = job.intake
-        if step.do is Do.RUN:
-            self.kernel.start(intake.ref, intake.entry, intake.doc)
-        elif step.do is Do.CALL and job.blocked is not None:
-            job.call = self.ledger.call(intake.ref, step.time_out, job.blocked.body)
+        request = job.request
+        if step.action is NextAction.RUN:
+            self.kernel.start(request.ref, request.product_name, request.doc)
+        elif step.action is NextAction.CALL and job.blocked is not None:
+            job.call = self.ledger.call(request.ref, step.time_out_us, job.blocked.body)
             job.call.done.addCallback(lambda called: self.tell(job, called))
-        elif step.do is Do.GO_ON and job.blocked is not None:
-            self.kernel.go_on(intake.ref, job.blocked.cursor)
+        elif step.action is NextAction.SKIP_CALL and job.blocked is not None:
+            self.kernel.go_on(request.ref, job.blocked.cursor)
 
-    def tell(self, job: Job, news: News) -> None:
+    def tell(self, job: Job, news: RunEvent) -> None:
         if not job.tell(news):
-            self.facade.interrupt(job.intake)
+            self.facade.interrupt(job.request)
 
-    def gone(self, intake: Intake) -> None:
-        self.facade.gone(intake)
+    def gone(self, request: Request) -> None:
+        self.facade.cancel_answer(request)
 
     # ---- what the kernel tells
 
     def booted(self, cold: bool, ago: int) -> None:
-        self.facade.boot(cold, ago)
+        self.facade.handle_kernel_boot(cold, ago)
 
-    def heard(self, ref: str, news: Ended | Blocked) -> bool:
+    def heard(self, ref: str, news: RunEnded | RunBlocked) -> bool:
         job = self.jobs.get(ref)
-        if isinstance(news, Ended) and news.end is End.OK:
+        if isinstance(news, RunEnded) and news.end is EndStatus.OK:
             self.work_seen = True
         if job is not None:
             self.tell(job, news)
@@ -351,7 +351,7 @@
         """The brain plans by the share as it is now; the gate sees to it that a call keeps to it."""
         share = None if self.peers is None else self.peers.share()
         if share is not None:
-            self.facade.allow(share)
+            self.facade.set_call_limit(share)
 
     def wake(self) -> None:
         self.take_share()
--- a/limeridge/scale/instance_rows.py
+++ b/limeridge/scale/instance_rows.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterator
 from functools import reduce
 
-from limeridge.facade import RESULTS_KEPT
+from limeridge.facade import MAX_RESULTS_BYTES
 from limeridge.net.nodelist import EVERY as REPORT_EVERY
 from limeridge.peers.habits import Habits
 from limeridge.peers.messages import STREAM_MOST
@@ -240,7 +240,7 @@
         Part.PATH,
         "results kept for repeats",
         ONE,
-        stated(of_bytes(RESULTS_KEPT), f"{of_bytes(RESULTS_KEPT)} at the most"),
+        stated(of_bytes(MAX_RESULTS_BYTES), f"{of_bytes(MAX_RESULTS_BYTES)} at the most"),
         ("limeridge.facade",),
     )
     view = evidence.at(member_cost(Role.VOTER, "largest view"), target.instances, take.VIEW_MESSAGE)
--- a/limeridge/sim/mutants.py
+++ b/limeridge/sim/mutants.py
@@ -100,7 +100,7 @@
     _m(
         "revoke-other",
         CALLERS,
-        "next((n for n, intake in self.open.items() if intake.ref == ref), 0)",
+        "next((n for n, request in self.open.items() if request.ref == ref), 0)",
         "next(iter(self.open), 0)",
         "a late revoke takes back another txn of its connection",
     ),
@@ -114,22 +114,22 @@
     _m(
         "held-kept",
         CALLERS,
-        "self.held -= taken(intake)",
-        "self.held -= taken(intake) // 2",
+        "self.held -= taken(request)",
+        "self.held -= taken(request) // 2",
         "half of a body's bytes stay booked",
     ),
     _m(
         "held-twice",
         CALLERS,
-        "self.held -= taken(intake)",
-        "self.held -= 2 * taken(intake)",
+        "self.held -= taken(request)",
+        "self.held -= 2 * taken(request)",
         "a release is counted twice",
     ),
     _m(
         "advice-unit",
         CALLERS,
-        'data["w"] = answer.come_back / 1_000',
-        'data["w"] = answer.come_back',
+        'data["w"] = answer.retry_after_us / 1_000',
+        'data["w"] = answer.retry_after_us',
         "the time to come back is told in microseconds",
     ),
     _m(
@@ -254,22 +254,22 @@
     _m(
         "status-500",
         LEDGER,
-        "{200: End.OK, 504: End.TIMED_OUT}",
-        "{200: End.OK, 500: End.OK, 504: End.TIMED_OUT}",
+        "{200: EndStatus.OK, 504: EndStatus.TIMED_OUT}",
+        "{200: EndStatus.OK, 500: EndStatus.OK, 504: EndStatus.TIMED_OUT}",
         "a failed call counts as a good one",
     ),
     _m(
         "failed-as-full",
         LEDGER,
-        ".get(status, End.FAILED)",
-        ".get(status, End.FULL)",
+        ".get(status, EndStatus.FAILED)",
+        ".get(status, EndStatus.FULL)",
         "a failed call counts as one that never ran",
     ),
     _m(
         "broken-as-unreached",
         LEDGER,
-        "self.way.call.end(End.BROKEN)  # passed",
-        "self.way.call.end(End.UNREACHED)  # passed",
+        "self.way.call.end(EndStatus.BROKEN)  # passed",
+        "self.way.call.end(EndStatus.UNREACHED)  # passed",
         "a call whose connection broke counts as one that never ran",
     ),
     _m(
@@ -289,8 +289,8 @@
     _m(
         "time-out-kept",
         LEDGER,
-        "        self._drop()\n        self.end(End.TIMED_OUT",
-        "        self.end(End.TIMED_OUT",
+        "        self._drop()\n        self.end(EndStatus.TIMED_OUT",
+        "        self.end(EndStatus.TIMED_OUT",
         "a call that timed out stays out",
     ),
     _m(
@@ -324,8 +324,8 @@
     _m(
         "cursor-before",
         SERVICE,
-        "self.kernel.go_on(intake.ref, job.blocked.cursor)",
-        "self.kernel.go_on(intake.ref, job.blocked.cursor - 1)",
+        "self.kernel.go_on(request.ref, job.blocked.cursor)",
+        "self.kernel.go_on(request.ref, job.blocked.cursor - 1)",
         "a call is left out under the cursor before its own",
     ),
     _m(
@@ -345,8 +345,8 @@
     _m(
         "jobs-kept",
         SERVICE,
-        "            self.jobs.pop(intake.ref, None)\n",
-        "            self.jobs.pop(intake.ref if job.call is None else '', None)\n",
+        "            self.jobs.pop(request.ref, None)\n",
+        "            self.jobs.pop(request.ref if job.call is None else '', None)\n",
         "txns that made a call stay in the table",
     ),
     _m(
@@ -373,7 +373,7 @@
     _m(
         "no-interrupt",
         SERVICE,
-        "            self.facade.interrupt(job.intake)\n",
+        "            self.facade.interrupt(job.request)\n",
         "            pass\n",
         "a handler that waits for a step does not hear of news",
     ),
@@ -394,43 +394,43 @@
     _m(
         "joins-lost",
         FACADE,
-        "        self.ready_joins += entry.joined\n",
+        "        self.ready_repeats += entry.waiting_repeats\n",
         "",
         "repeats that joined a run are not ended with it",
     ),
     _m(
         "no-prior",
         FACADE,
-        "return next((entry for entry in tries if entry.txn.ran), tries[-1] if tries else None)",
+        "return next((entry for entry in attempts if entry.txn.ran), attempts[-1] if attempts else None)",
         "return None",
         "no repeat is known as one",
     ),
     _m(
         "ended-forgotten",
         FACADE,
-        "or until > now - intake.age\n",
+        "or until > now - request.age_us\n",
         "or until > now + 10**9\n",
         "a repeat of a txn that is over is not known as one",
     ),
     _m(
         "end-untold",
         FACADE,
-        "        self.brain.ended(now, entry.txn, OUTCOMES[news.end], 0)\n",
-        "        if news.end is not End.STOPPED:\n            self.brain.ended(now, entry.txn, OUTCOMES[news.end], 0)\n",
+        "        self.brain.ended(now, entry.txn, OUTCOMES[event.end], 0)\n",
+        "        if event.end is not EndStatus.STOPPED:\n            self.brain.ended(now, entry.txn, OUTCOMES[event.end], 0)\n",
         "the brain does not hear that a run was stopped",
     ),
     _m(
         "late-wake",
         FACADE,
-        "self._arm(max(0, decision.us - self.now()) / 1_000_000)",
-        "self._arm(max(0, decision.us - self.now() + 150_000) / 1_000_000)",
+        "self._set_timer(max(0, decision.us - self.now()) / 1_000_000)",
+        "self._set_timer(max(0, decision.us - self.now() + 150_000) / 1_000_000)",
         "the brain is woken 150 ms late",
     ),
     _m(
         "cold-as-warm",
         FACADE,
-        "self._tell(self.brain.booted, cold, self.now() - ago)",
-        "self._tell(self.brain.booted, False, self.now() - ago)",
+        "self._notify_brain(self.brain.booted, cold, self.now() - ago)",
+        "self._notify_brain(self.brain.booted, False, self.now() - ago)",
         "a cold kernel is taken for a warm one",
     ),
     _m(
@@ -738,22 +738,22 @@
     _m(
         "key-body-unchecked",
         FACADE,
-        "(entry.intake.doc, entry.intake.customer) != (intake.doc, intake.customer)",
-        "entry.intake.customer != intake.customer",
+        "(entry.request.doc, entry.request.customer) != (request.doc, request.customer)",
+        "entry.request.customer != request.customer",
         "a key that comes with another body is taken for a repeat",
     ),
     _m(
         "key-tenant-unchecked",
         FACADE,
-        "(entry.intake.doc, entry.intake.customer) != (intake.doc, intake.customer)",
-        "entry.intake.doc != intake.doc",
+        "(entry.request.doc, entry.request.customer) != (request.doc, request.customer)",
+        "entry.request.doc != request.doc",
         "a key that comes from another tenant is taken for a repeat",
     ),
     _m(
         "key-refused-to-owner",
         FACADE,
-        "        if self._misused(intake, now):\n",
-        "        if self._misused(intake, now) or any(each.result for each in self._tries(intake, now)):\n"
+        "        if self._is_key_conflict(request, now):\n",
+        "        if self._is_key_conflict(request, now) or any(each.result for each in self._known_attempts(request, now)):\n"
         "            self.log.event('bad-message', 'key that was answered')\n",
         "a repeat whose result is kept is taken for a misuse",
     ),
@@ -804,9 +804,9 @@
     _m(
         "key-lost-to-copier",
         FACADE,
-        "        if self._misused(intake, now):\n",
-        "        if self._misused(intake, now):\n"
-        "            self.keys.pop((intake.product, intake.key), None)\n",
+        "        if self._is_key_conflict(request, now):\n",
+        "        if self._is_key_conflict(request, now):\n"
+        "            self.keys.pop((request.product, request.key), None)\n",
         "a misused key is forgotten, so that its owner's repeat is not known as one",
     ),
 )
--- a/limeridge/sim/world.py
+++ b/limeridge/sim/world.py
@@ -1027,7 +1027,7 @@
             if machine.link is None
             else 0,  # tables come and go over connections of members
             "strangers": max(0, len(instance.callers.strangers) - len(instance.callers.connections)),
-            "keys": max(0, len(facade.keyed) - max(facade.prune_at, 512)),
+            "keys": max(0, len(facade.keyed_entries) - max(facade.prune_at, 512)),
         }
         return ", ".join(f"{name}: {count}" for name, count in counts.items() if count)
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -16,7 +16,7 @@
 
 from limeridge.brain import Brain
 from limeridge.config import reading, setup_of
-from limeridge.facade import OUTCOMES, Answer, Blocked, Called, Ended, Facade, Intake, Kind
+from limeridge.facade import OUTCOMES, Answer, AnswerKind, CallEnded, Facade, Request, RunBlocked, RunEnded
 from limeridge.interface import Decision, Outcome, Stage, Txn, Verb
 from limeridge.net.callers import Frames, frame
 from limeridge.net.service import Instance
@@ -251,9 +251,9 @@
     def event(self, event: str, code: str = "", **fields: object) -> None:
         self.lines.append({"event": event, "code": code} | fields)
 
-    def fault(self, event: str, trouble: object, code: str = "exception", **fields: object) -> None:
-        text = "".join(format_exception(trouble)) if isinstance(trouble, Exception) else ""
-        self.event(event, code, trouble=repr(trouble), trace=text, **fields)
+    def fault(self, event: str, error: object, code: str = "exception", **fields: object) -> None:
+        text = "".join(format_exception(error)) if isinstance(error, Exception) else ""
+        self.event(event, code, trouble=repr(error), trace=text, **fields)
 
     def close_span(self) -> None:
         pass
@@ -272,9 +272,9 @@
         self.clock.advance(START / 1e6)
         self.facade = Facade(self.settings, 7, self.clock, self.sink, self.woken)
         self.brain, self.steps, self.told = self.facade.brain, {}, {}
-        self.intakes: dict[int, Intake] = {}
+        self.requests: dict[int, Request] = {}
         self.figures = (0.5, 1.0)
-        carry_out, arrived = self.facade._carry_out, self.brain.arrived
+        carry_out, arrived = self.facade._apply_decision, self.brain.arrived
 
         def both(decision: Decision) -> None:
             self.apply(decision)
@@ -285,17 +285,17 @@
             self.txns.append(txn)
             return txn
 
-        self.facade._carry_out, self.brain.arrived = both, noted  # type: ignore[method-assign]
+        self.facade._apply_decision, self.brain.arrived = both, noted  # type: ignore[method-assign]
 
     def woken(self) -> None:
         self.now = self.facade.now()
         self.facade.tick(self.now, self.figures)
 
     def read(self, product: int = 0, key: str = "", age: int = 0, **more: Any) -> Txn:
-        ref = self.facade.serial + 1
+        ref = self.facade.last_ref + 1
         told = {"patience": 3_000_000, "size_kb": 20.0, "caller": 0, "resent": False} | more
         self.keys[ref] = key or f"own-{ref}"
-        self.intakes[ref] = Intake(
+        self.requests[ref] = Request(
             f"{ref:016x}",
             "look",
             product,
@@ -309,17 +309,17 @@
             told["resent"],
             key=key,
         )
-        self.watch(ref, self.facade.pick(self.intakes[ref]))
+        self.watch(ref, self.facade.submit(self.requests[ref]))
         return self.txns[ref - 1]
 
     def hear(self, ref: int, answer: Answer) -> None:
         assert ref not in self.told, "two answers"
         assert ref not in self.gone
         self.told[ref] = answer
-        if answer.kind is Kind.SETTLED:
+        if answer.kind is AnswerKind.SETTLED:
             key = self.keys[ref]
             assert any(answer.doc == f"result {other}" for other, k in self.keys.items() if k == key)
-        self.answers.setdefault(ref, Outcome.OK if answer.kind is Kind.SETTLED else Outcome.ERROR)
+        self.answers.setdefault(ref, Outcome.OK if answer.kind is AnswerKind.SETTLED else Outcome.ERROR)
 
     def watch(self, ref: int, step: Any) -> None:
         assert ref not in self.steps or self.steps[ref].called, "two steps awaited"
@@ -328,30 +328,30 @@
     def report(self, txn: Txn, news: Any) -> None:
         self.now = self.facade.now()
         if self.steps[txn.ref].called:
-            self.watch(txn.ref, self.facade.report(self.intakes[txn.ref], news))
+            self.watch(txn.ref, self.facade.report(self.requests[txn.ref], news))
         else:
-            self.facade.interrupt(self.intakes[txn.ref])
+            self.facade.interrupt(self.requests[txn.ref])
             assert self.steps[txn.ref].called
-            self.watch(txn.ref, self.facade.report(self.intakes[txn.ref], news))
+            self.watch(txn.ref, self.facade.report(self.requests[txn.ref], news))
 
     def needs(self, txn: Txn) -> None:
-        self.report(txn, Blocked(1, b"call"))
+        self.report(txn, RunBlocked(1, b"call"))
 
     def finish(self, txn: Txn, outcome: Outcome = Outcome.OK) -> None:
         if txn.stage not in (Stage.JOINED, Stage.OVER):  # who joined is ended by the facade
             self.end_call(txn, lingers=txn.stage == Stage.CALLING)
-            self.report(txn, Ended({v: k for k, v in OUTCOMES.items()}[outcome], f"result {txn.ref}"))
+            self.report(txn, RunEnded({v: k for k, v in OUTCOMES.items()}[outcome], f"result {txn.ref}"))
 
     def call_ends(self, txn: Txn, outcome: Outcome) -> None:
         self.end_call(txn, lingers=outcome == Outcome.TIMEOUT)
         self.last_call[txn.ref] = outcome
         spent = self.facade.now() - txn.since
-        self.report(txn, Called({v: k for k, v in OUTCOMES.items()}[outcome], spent))
+        self.report(txn, CallEnded({v: k for k, v in OUTCOMES.items()}[outcome], spent))
 
     def go(self, txn: Txn) -> None:
         if txn.ref not in self.told:
             self.gone.add(txn.ref)
-            self.facade.gone(self.intakes[txn.ref])
+            self.facade.cancel_answer(self.requests[txn.ref])
 
     def leave(self, budget: int) -> None:
         self.facade.leave(budget)
@@ -359,7 +359,7 @@
     def pull(self) -> list[Decision]:
         if hasattr(self, "facade"):
             self.now = self.facade.now()
-            self.facade._pull()
+            self.facade._apply_decisions()
             self.check()
             assert not self.sink.codes("brain-fault") and not self.sink.codes("txn-fault")
         return []
--- a/tests/test_configuration_live.py
+++ b/tests/test_configuration_live.py
@@ -309,7 +309,7 @@
     assert (line["code"], line["needs_restart"]) == ("taken", [])
     reload(net, familyInfo__classSkipWorth=[0.0, 0.0], familyInfo__idle=7_000_000)
     assert net.instance.idle_limit() == 7_000_000
-    assert net.instance.facade.skews[0] == 4_000_000, "it may have been read as late as that"
+    assert net.instance.facade.max_read_delays_us[0] == 4_000_000, "it may have been read as late as that"
     assert not net.instance.skips[0]
     [entry] = net.instance.facade.open.values()
     assert entry.txn.terms.expiry == 4_000_000 and entry.txn.due - entry.txn.arrived == 3_000_000
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -23,7 +23,7 @@
 from twisted.internet.error import CannotListenError, ConnectionRefusedError
 from twisted.python.failure import Failure
 
-from limeridge.facade import End
+from limeridge.facade import EndStatus
 from limeridge.net.callers import CLOSE_AFTER, DISCARDED_MOST, PARTING, close_listener
 from limeridge.net.kernel import Dial
 from limeridge.net.service import LAST_CALL, LISTEN_EVERY, LISTEN_TRIES, PART
@@ -788,7 +788,7 @@
         net.commands()
         net.tell(event="REAP", cursor=None, handle=ref, fate="ok", lasted=5, arg=doc)
         net.answers(caller)
-    assert 1 << 20 < net.instance.facade.results_size <= 2 << 20
+    assert 1 << 20 < net.instance.facade.results_bytes <= 2 << 20
 
 
 # ---- repeats
@@ -904,7 +904,7 @@
 @pytest.mark.parametrize("how", ["end", "reset"])
 def test_a_reply_cut_anywhere_proves_nothing(piece: bytes, how: str) -> None:
     with stepped() as s:
-        told: list[End] = []
+        told: list[EndStatus] = []
         call = s.instance.ledger.call("0" * 16, 5_000_000, b"body")
         call.done.addCallback(lambda called: told.append(called.end))
         line = s.accepted(s.ledgers, Far)
@@ -912,12 +912,12 @@
         line.write(piece)
         line.close() if how == "end" else line.reset()
         s.until("its end", lambda: told)
-        assert told == [End.BROKEN] and s.instance.ledger.connections == 0
+        assert told == [EndStatus.BROKEN] and s.instance.ledger.connections == 0
 
 
 def test_a_reply_in_the_turn_of_its_time_out_is_told_once() -> None:
     with stepped() as s:
-        told: list[End] = []
+        told: list[EndStatus] = []
         call = s.instance.ledger.call("0" * 16, 50_000, b"body")
         call.done.addCallback(lambda called: told.append(called.end))
         line = s.accepted(s.ledgers, Far)
@@ -928,7 +928,7 @@
             pass
         s.until("its end", lambda: told)
         s.turn(5)
-        assert told in ([End.TIMED_OUT], [End.OK]) and s.instance.ledger.connections == 0
+        assert told in ([EndStatus.TIMED_OUT], [EndStatus.OK]) and s.instance.ledger.connections == 0
 
 
 # ---- floods and late ones
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -16,7 +16,7 @@
 from twisted.internet.error import ConnectionRefusedError
 from twisted.python.failure import Failure
 
-from limeridge.facade import End
+from limeridge.facade import EndStatus
 from limeridge.net.callers import (
     BLAME_MOST,
     HEAD_MOST,
@@ -111,7 +111,7 @@
     net = booted()
     ledger = net.instance.ledger
     calls = [ledger.call(f"{n:016x}", 500_000, b"") for n in range(ledger.most + 2)]
-    told: list[End] = []
+    told: list[EndStatus] = []
     for call in calls:
         call.done.addCallback(lambda called: told.append(called.end))
     assert len(net.reactor.tcpClients) == ledger.connections == ledger.most
@@ -120,12 +120,12 @@
     net.instance.reload()
     first.dataReceived(REPLY)
     net.lose(first)
-    assert told == [End.OK] and net.reactor.tcpClients[-1][0] == "127.0.3.2"
+    assert told == [EndStatus.OK] and net.reactor.tcpClients[-1][0] == "127.0.3.2"
     at = next(c for c in net.reactor.tcpClients if c[0] == "127.0.1.2")
     at[2].clientConnectionFailed(None, Failure(ConnectionRefusedError()))
-    assert told == [End.OK] and net.reactor.tcpClients[-1][0] == "127.0.3.2"
+    assert told == [EndStatus.OK] and net.reactor.tcpClients[-1][0] == "127.0.3.2"
     net.pass_time(0.6)
-    assert told[1:] == [End.UNREACHED] * (ledger.most + 1)
+    assert told[1:] == [EndStatus.UNREACHED] * (ledger.most + 1)
 
 
 def test_a_share_that_lapses_holds_calls_back_up_to_the_last_moment() -> None:
@@ -139,10 +139,10 @@
         return made
 
     calls = [call() for _ in range(3)]
-    assert told == [End.FULL], "no room for a third: nothing was opened for it"
+    assert told == [EndStatus.FULL], "no room for a third: nothing was opened for it"
     share[0] = 1  # while the connections were being opened
     line = net.connect("127.0.1.2")
-    assert (line.transport.sent(), told[1:]) == (b"", [End.UNREACHED]), "never sent, and proved so"
+    assert (line.transport.sent(), told[1:]) == (b"", [EndStatus.UNREACHED]), "never sent, and proved so"
     net.lose(line)
     assert net.log.codes("ledger-end") == ["share-lapsed"]
     line = net.connect("127.0.1.2")
@@ -150,7 +150,7 @@
     calls[0].abandon()
     net.lose(line)
     assert (gate.in_hand(), ledger.connections) == (1, 0), "left behind: the ledger may still work on it"
-    assert (call(), told[-1])[1] is End.FULL
+    assert (call(), told[-1])[1] is EndStatus.FULL
     net.pass_time(0.2)
     call()
     assert (gate.in_hand(), ledger.connections) == (1, 1)
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 
 from limeridge.config import Unusable, read, setup_of
-from limeridge.facade import Answer, Blocked, End, Ended, Kind
+from limeridge.facade import Answer, AnswerKind, EndStatus, RunBlocked, RunEnded
 from limeridge.net import callers, kernel, ledger
 from limeridge.words import settings_of
 
@@ -155,18 +155,18 @@
 @pytest.mark.parametrize(
     ("reply", "end"),
     [
-        (b"HTTP/1.1 200 OK", End.OK),
-        (b"HTTP/1.1 503 Busy\r\nOp-Not-Begun: 1", End.FULL),
-        (b"HTTP/1.1 503 Busy", End.FAILED),
-        (b"HTTP/1.1 500 Oh", End.FAILED),
-        (b"HTTP/1.1 504 Late", End.TIMED_OUT),
-        (b"HTTP/1.1 409 No\r\nOp-Not-Begun: 1", End.NEVER_BEGAN),
-        (b"HTTP/1.1 409 No", End.FAILED),
-        (b"HTTP/1.1 504 Late\r\nOp-Not-Begun: 1", End.TIMED_OUT),
-        (b"HTTP/1.1 302 Go", End.FAILED),
+        (b"HTTP/1.1 200 OK", EndStatus.OK),
+        (b"HTTP/1.1 503 Busy\r\nOp-Not-Begun: 1", EndStatus.FULL),
+        (b"HTTP/1.1 503 Busy", EndStatus.FAILED),
+        (b"HTTP/1.1 500 Oh", EndStatus.FAILED),
+        (b"HTTP/1.1 504 Late", EndStatus.TIMED_OUT),
+        (b"HTTP/1.1 409 No\r\nOp-Not-Begun: 1", EndStatus.NEVER_BEGAN),
+        (b"HTTP/1.1 409 No", EndStatus.FAILED),
+        (b"HTTP/1.1 504 Late\r\nOp-Not-Begun: 1", EndStatus.TIMED_OUT),
+        (b"HTTP/1.1 302 Go", EndStatus.FAILED),
     ],
 )
-def test_a_reply_is_told_as_what_it_proves(reply: bytes, end: End) -> None:
+def test_a_reply_is_told_as_what_it_proves(reply: bytes, end: EndStatus) -> None:
     found = ledger.Reply().feed(reply + b"\r\nContent-Length: 0\r\n\r\n")
     assert found is not None and ledger.proved(found[0], found[1]) is end
 
@@ -218,9 +218,9 @@
 def test_notices_are_decoded_once_into_news() -> None:
     assert kernel.decode(
         b'{"event":"REAP","cursor":3,"handle":"a","fate":"ok","lasted":2,"arg":"Zm9v"}'
-    ) == kernel.Notice(3, "a", Ended(End.OK, "Zm9v"))
+    ) == kernel.Notice(3, "a", RunEnded(EndStatus.OK, "Zm9v"))
     assert kernel.decode(b'{"event":"IOREQ","cursor":4,"handle":"a","arg":"Zm9v"}') == kernel.Notice(
-        4, "a", Blocked(4, b"foo")
+        4, "a", RunBlocked(4, b"foo")
     )
     assert kernel.decode(b'{"event":"BOOTED","fate":"cold","lasted":2.5}') == kernel.Booted(True, 2_500)
     assert kernel.decode(b'{"event":"REAP","cursor":3,"handle":"a","fate":"odd"}') is None
@@ -231,13 +231,13 @@
         [body] = callers.Frames().feed(callers.encode_answer(7, answer, 0.25))
         return orjson.loads(body)
 
-    assert sent(Answer(Kind.SETTLED, doc="Zm9v"))["result"] == {"doc": "Zm9v", "v": 0.25}
-    assert sent(Answer(Kind.DECLINED, come_back=12_500, not_elsewhere=True))["error"] == {
+    assert sent(Answer(AnswerKind.SETTLED, doc="Zm9v"))["result"] == {"doc": "Zm9v", "v": 0.25}
+    assert sent(Answer(AnswerKind.DECLINED, retry_after_us=12_500, no_failover=True))["error"] == {
         "code": -32008,
         "message": "turned away",
         "data": {"v": 0.25, "w": 12.5, "l": 1},
     }
-    assert sent(Answer(Kind.VOIDED))["error"]["code"] not in (0, -32008)
+    assert sent(Answer(AnswerKind.VOIDED))["error"]["code"] not in (0, -32008)
 
 
 # ---- configuration
