--- a/limeridge/facade.py
+++ b/limeridge/facade.py
@@ -1,9 +1,10 @@
-"""The brain in blocking style: `pick` waits until a txn may run or has its final answer, `report` tells how
-a run or call went and gives the next step, `tick` moves time.
+"""Adapts the brain's pull interface to the network code: `submit` waits until a txn may run or has its final
+answer, `report` passes on how a run or call went and returns the next step, `tick` advances time.
 
-It owns the one Brain of the instance, the txns that are open, the keys and results kept for repeats, and the
-guard that a txn gets one final answer. It must never decide (that is the brain's), open a socket or read the
-Unix clock: its time is the clock that it is given, and whoever calls it sees steps and answers alone.
+It owns the single Brain of the instance, the open txns, the idempotency keys and results kept for repeats,
+and the check that each txn gets exactly one final answer. It must never decide (that is the brain's task),
+open a socket or read the wall clock: time comes from the clock that it is given, and its callers see only
+steps and answers.
 """
 
 from __future__ import annotations
@@ -20,23 +21,19 @@
 from limeridge.interface import Decision, Outcome, Stage, Txn, Verb
 from limeridge.words import GAUGES
 
-MAX_RESULTS_BYTES = (
-    8 << 20
-)  # bytes of results kept for repeats at the most; the oldest go first, their keys stay
-RESULT_OVERHEAD_BYTES = 2_000  # bytes that a kept txn takes besides its result
-OVERDUE_MARGIN_US = (
-    20_000  # past the due time the guard answers what the brain did not, against a defect there
-)
-DEFECT_RETRY_DELAY_S = 0.05  # seconds after a defect until the brain is asked again
+MAX_RESULTS_BYTES = 8 << 20  # results kept for repeats; the oldest are evicted first, their keys stay
+RESULT_OVERHEAD_BYTES = 2_000  # memory of a kept txn besides its result
+OVERDUE_MARGIN_US = 20_000  # after the due time the guard answers itself, in case a defect lost the txn
+DEFECT_RETRY_DELAY_S = 0.05  # delay after a defect in the brain until its decisions are pulled again
 
 
 class NextAction(Enum):
     """What a txn's handler does next."""
 
     RUN = "run"
-    CALL = "call"  # with `time_out` in microseconds
-    SKIP_CALL = "go on without the call"
-    WAIT = "wait for news of the run"
+    CALL = "call"  # within `time_out_us`
+    SKIP_CALL = "skip the call"
+    WAIT = "wait for the next event of the run"
     DONE = "done"
 
 
@@ -47,14 +44,14 @@
 
 
 class EndStatus(Enum):
-    """How a run or a call went, in words of what it proves."""
+    """How a run or a call ended, named after what is proved about its effects."""
 
     OK = "ok"
-    FAILED = "failed"  # it ran, or may have
-    FULL = "full"  # turned away unseen
+    FAILED = "failed"  # it ran or may have run
+    FULL = "full"  # refused before it began
     TIMED_OUT = "timed out"
-    UNREACHED = "unreached"  # no connection: nothing ran
-    BROKEN = "broken"  # proves nothing
+    UNREACHED = "unreached"  # no connection was made: nothing ran
+    BROKEN = "broken"  # the connection broke: it may have run or not
     STOPPED = "stopped"
     NEVER_BEGAN = "never began"
 
@@ -73,7 +70,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RunEnded:
-    """A run is over; `doc` is its result as it came."""
+    """A run ended; `doc` is its result, unchanged."""
 
     end: EndStatus
     doc: str = ""
@@ -81,7 +78,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RunBlocked:
-    """A run waits for the call with this body, asked for in notice `cursor`."""
+    """A run waits for a call with this body, requested in the notice numbered `cursor`."""
 
     cursor: int
     body: bytes
@@ -89,7 +86,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CallEnded:
-    """A call is over after `spent` microseconds."""
+    """A call ended."""
 
     end: EndStatus
     spent_us: int
@@ -111,41 +108,41 @@
 
     kind: AnswerKind
     doc: str = ""
-    retry_after_us: int = 0  # microseconds to stay away
-    no_failover: bool = False
+    retry_after_us: int = 0  # time before the caller should try again
+    no_failover: bool = False  # the caller should not try other instances either
     why: str = ""
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A txn as it was read: `age` and `patience` are microseconds at the reading, `doc` stays as it came."""
+    """A txn as received; `age_us` and `remaining_wait_us` were measured when it was read."""
 
     ref: str
-    product_name: str  # the product's name out there
+    product_name: str  # as callers and the kernel use it
     product: int
     customer: int
     caller: int
-    age_us: int
-    remaining_wait_us: int
+    age_us: int  # since it arrived at the machine
+    remaining_wait_us: int  # how long the caller still waits
     size_kb: float
-    doc: str
+    doc: str  # body, unchanged
     answer: Callable[[Answer], None]
     resent: bool = False
-    expected_work_us: int = 0
-    key: str = ""
+    expected_work_us: int = 0  # on a standard core; 0 if unknown
+    key: str = ""  # idempotency key; empty if it has none
 
 
 @dataclass(slots=True, eq=False)
 class Entry:
-    """What the facade holds of an open or remembered txn."""
+    """The facade's record of an open txn or of one whose key is kept."""
 
     request: Request
     txn: Txn
     pending: Deferred[Step] | None = None
-    step: Step | None = None  # decided, not handed out yet
+    step: Step | None = None  # decided but not delivered to the handler yet
     answered: bool = False
-    waiting_repeats: list[Entry] = field(default_factory=list)  # repeats that wait for its end
-    prior: Entry | None = None  # the try whose result this one shares
+    waiting_repeats: list[Entry] = field(default_factory=list)  # answered when this one ends
+    prior: Entry | None = None  # the earlier attempt whose result this repeat gets
     result: str | None = None
 
 
@@ -155,7 +152,8 @@
 
 
 class Facade:
-    """`wake` is called when the brain wants a tick; who gets it calls `tick` soon, with gauges if it can."""
+    """Calls `wake` when the brain needs a tick; the owner then calls `tick` soon, with gauges if
+    available."""
 
     def __init__(
         self,
@@ -172,21 +170,21 @@
         self.healthy = False
         self.value: float | None = None
         self.idle_limit = int(settings.get("instance.idle", 0))
-        self.call_limit: int | None = None  # calls in hand, as last told; None: the settings' own share
+        self.call_limit: int | None = None  # limit of open calls; None: as in the settings
         self.last_ref = 0
         self.open: dict[int, Entry] = {}
         self.by_ref: dict[str, Entry] = {}
-        self.keys: dict[tuple[int, str], list[tuple[Entry, int]]] = {}  # tries of a key, and until when
-        self.keyed_entries: dict[int, Entry] = {}
-        self.prune_at = 256
+        self.keys: dict[tuple[int, str], list[tuple[Entry, int]]] = {}  # attempts, with expiry time
+        self.keyed_entries: dict[int, Entry] = {}  # entries in `keys`, by the txn's ref
+        self.prune_at = 256  # size of `keyed_entries` at which expired keys are removed
         self.results: OrderedDict[Entry, int] = OrderedDict()
         self.results_bytes, self.max_results_bytes = 0, max_results_bytes
         self.timer: Any = None
         self.applying_decisions = False
-        self.decision_timer: Any = None  # the timer of the next asking
-        self.changed_entries: deque[Entry] = deque()
-        self.ready_repeats: list[Entry] = []
-        self.max_read_delays_us: dict[int, int] = {}  # by product, the longest that its txns may be read late
+        self.decision_timer: Any = None  # pending call of `_apply_decisions`
+        self.changed_entries: deque[Entry] = deque()  # their handlers may have a step to take
+        self.ready_repeats: list[Entry] = []  # repeats whose original has ended
+        self.max_read_delays_us: dict[int, int] = {}  # by product, from a txn's arrival until it is read
         self._update_max_read_delays()
         self.brain = Brain(self.settings, seed, self.now(), quotas)
         self._apply_decisions()
@@ -194,15 +192,16 @@
     def now(self) -> int:
         return int(self.clock.seconds() * 1_000_000)
 
-    # ---- what the network code calls
+    # ---- interface for the network code
 
-    def handle_kernel_boot(self, cold: bool, ago: int) -> None:
-        """The kernel came up `ago` microseconds ago: its speed grows from then on, not from our own start."""
-        self._notify_brain(self.brain.booted, cold, self.now() - ago)
+    def handle_kernel_boot(self, cold: bool, ago_us: int) -> None:
+        """The kernel started `ago_us` ago; its speed ramps up from then, not from the start of this
+        process."""
+        self._notify_brain(self.brain.booted, cold, self.now() - ago_us)
         self._apply_decisions()
 
     def submit(self, request: Request) -> Deferred[Step]:
-        """Waits until the txn may run (RUN) or needs nothing more (DONE): its answer went out by then."""
+        """Waits until the txn may run (RUN) or is finished (DONE); in that case its answer has been sent."""
         now = self.now()
         if self._is_key_conflict(request, now):
             self.log.event("bad-message", "key of another request")
@@ -236,7 +235,8 @@
         return self._await_step(entry)
 
     def report(self, request: Request, event: RunEvent) -> Deferred[Step]:
-        """How a run or a call went; waits for the next step, WAIT where none is due before more news."""
+        """Passes on an event of a run or call and waits for the next step, which is WAIT if another event has
+        to come first."""
         entry = self.by_ref.get(request.ref)
         if entry is None or entry.request is not request:
             return succeed(Step(NextAction.DONE))
@@ -254,14 +254,15 @@
         return self._await_step(entry)
 
     def interrupt(self, request: Request) -> None:
-        """More news of a run came while `report` still waits: it lets go, the handler must read the news."""
+        """Ends a pending `report` with WAIT, because another event of the run arrived that the handler must
+        read."""
         entry = self.by_ref.get(request.ref)
         if entry is not None and entry.pending is not None and entry.txn.ran and entry.step is None:
             entry.step = Step(NextAction.WAIT)
             self._deliver_step(entry)
 
     def cancel_answer(self, request: Request) -> None:
-        """The caller waits no more: no answer is owed."""
+        """The caller no longer waits (it revoked the txn or disconnected): no answer will be sent."""
         entry = self.by_ref.get(request.ref)
         if entry is not None and not entry.answered and entry.request is request:
             entry.answered = True
@@ -270,8 +271,8 @@
             self._schedule_decisions()
 
     def abort(self, request: Request, why: str) -> Step:
-        """A defect was met: the txn is answered as voided, whatever else is known of it. WAIT where its run
-        is still to end."""
+        """Answers the txn as voided after a defect, whatever its state. Returns WAIT if its run has not ended
+        yet."""
         entry = self.by_ref.get(request.ref)
         if entry is None or entry.request is not request:
             return Step(NextAction.DONE)
@@ -282,20 +283,20 @@
         return Step(NextAction.DONE if entry.txn.stage is Stage.OVER else NextAction.WAIT)
 
     def tick(self, now: int, gauges: Sequence[float] | None) -> None:
-        """Moves time; `gauges` in the settings' order, None where none could be had."""
-        told = dict(zip(self.gauges, gauges, strict=False)) if gauges else {}
-        self._notify_brain(self.brain.woke, 1, told, now=now)
+        """Advances time; `gauges` are in the order of the settings, None if they were not available."""
+        values = dict(zip(self.gauges, gauges, strict=False)) if gauges else {}
+        self._notify_brain(self.brain.woke, 1, values, now=now)
         self._apply_decisions()
 
     def set_call_limit(self, calls: int) -> None:
-        """Calls that may be in hand from now on, where the instance's share changes while it runs."""
+        """Sets how many calls may be open from now on; the instance's share can change at run time."""
         if calls != self.call_limit:
             self.call_limit = calls
             self._notify_brain(self.brain.share, calls)
 
     def revise(self, settings: Mapping[str, Any], quotas: Quotas | None) -> None:
-        """Settings of another revision, with the same classes by number, and the quotas of its tenants: for
-        what comes from now on. Raises what the brain raises, and then nothing is changed."""
+        """Applies settings of another revision, with the same classes by number, and its tenants' quotas to
+        later txns. An exception of the brain is passed on and leaves everything unchanged."""
         idle = int(settings.get("instance.idle", 0))
         self.brain.revise(self.now(), dict(settings), quotas)
         if idle != int(self.settings.get("instance.idle", 0)):
@@ -304,14 +305,15 @@
         self._update_max_read_delays()
 
     def _update_max_read_delays(self) -> None:
-        """What came under an earlier revision may still be read as late as that one allows."""
+        """Keeps the maximum over all revisions: a txn that arrived under an earlier one may still be read as
+        late as that one allows."""
         for product in range(int(self.settings.get("products.count", 0))):
             expiry = int(self.settings.get(f"products.{product}.expiry", 0))
             self.max_read_delays_us[product] = max(self.max_read_delays_us.get(product, 0), expiry)
 
     def guard(self) -> None:
-        """Against a txn that the brain forgot: past its due time it is answered from here. The brain is asked
-        first; after a pause of the machine this may come before its own wake-up."""
+        """Answers txns that the brain has lost, once they are past their due time. Ticks the brain first,
+        since after a pause of the machine this may run before the brain's own wake-up."""
         now = self.now()
         overdue = [e for e in self.open.values() if not e.answered and e.txn.due < now - OVERDUE_MARGIN_US]
         if overdue:
@@ -320,41 +322,41 @@
             self.log.event("overdue", "guard", ref=entry.request.ref)
             self.abort(entry.request, "overdue")
 
-    def leave(self, budget: int, ago: int = 0) -> None:
-        """The notice to leave, which came `ago` microseconds ago; the process is killed `budget` microseconds
-        after it."""
-        self._notify_brain(self.brain.leave, budget, ago)
+    def leave(self, budget_us: int, ago_us: int = 0) -> None:
+        """Starts the drain: the notice to leave came `ago_us` ago, and the process is killed `budget_us`
+        after the notice."""
+        self._notify_brain(self.brain.leave, budget_us, ago_us)
         self._apply_decisions()
 
     def owed(self) -> int:
-        """Txns without a final answer whose callers still wait."""
+        """Returns the number of txns without a final answer whose callers still wait."""
         return sum(not entry.answered for entry in self.open.values())
 
-    def _notify_brain(self, told: Callable[..., object], *what: object, now: int | None = None) -> None:
-        """An input to the brain; a defect there must not reach whoever brought it."""
+    def _notify_brain(self, method: Callable[..., object], *args: object, now: int | None = None) -> None:
+        """Calls an input method of the brain and logs its exceptions, which must not reach the caller."""
         try:
-            told(self.now() if now is None else now, *what)
+            method(self.now() if now is None else now, *args)
         except Exception as error:
             self.log.fault("brain-fault", error)
 
-    # ---- the brain's decisions
+    # ---- decisions of the brain
 
     def _await_step(self, entry: Entry) -> Deferred[Step]:
-        waiting: Deferred[Step] = Deferred()
-        entry.pending = waiting
+        pending: Deferred[Step] = Deferred()
+        entry.pending = pending
         self.changed_entries.append(entry)
         self._schedule_decisions()
-        return waiting
+        return pending
 
     def _schedule_decisions(self) -> None:
-        """Once for all that is read in one turn of the loop: an asking looks at all lines and calls, and one
-        for each event would cost the more the more traffic there is."""
+        """Pulls decisions once for all that is read in one iteration of the event loop: a pull looks at all
+        queues and calls, so one for each event would cost more the more traffic there is."""
         if self.decision_timer is None:
             self.decision_timer = self.clock.callLater(0, self._apply_decisions)
 
     def _apply_decisions(self) -> None:
-        """Asks the brain until it has no more to say, then lets handlers go on: none may call into the
-        brain while it is being asked."""
+        """Pulls and applies decisions until the brain has none left, and only then resumes handlers: none may
+        call into the brain while decisions are pulled."""
         if self.applying_decisions:
             return
         if self.decision_timer is not None:
@@ -378,7 +380,7 @@
             self._deliver_step(self.changed_entries.popleft())
 
     def _deliver_step(self, entry: Entry) -> None:
-        """Fires what a handler waits for, if its txn has come that far."""
+        """Resumes the txn's handler if its next step is known."""
         stage = entry.txn.stage
         over = stage is Stage.OVER
         if over:
@@ -396,8 +398,8 @@
         else:
             step = Step(NextAction.WAIT)
         entry.step = None
-        waiting, entry.pending = entry.pending, None
-        waiting.callback(step)
+        pending, entry.pending = entry.pending, None
+        pending.callback(step)
 
     def _apply_decision(self, decision: Decision) -> None:
         entry = None if decision.txn is None else self.open.get(decision.txn.ref)
@@ -432,7 +434,8 @@
             self._record_attempt(entry, 0)
         elif verb is Verb.ATTACH:
             self._add_repeat(entry)
-        # HALT: the kernel's protocol has no such command; the run goes on to its end, which frees its place.
+        # HALT is ignored: the kernel's protocol has no such command, and the run frees its place when it
+        # ends.
         if entry is not None:
             self.changed_entries.append(entry)
 
@@ -458,10 +461,11 @@
         self.ready_repeats += entry.waiting_repeats
         entry.waiting_repeats = []
 
-    # ---- keys, repeats, results
+    # ---- idempotency keys, repeats and results
 
     def _known_attempts(self, request: Request, now: int) -> list[Entry]:
-        """All known tries under its key; kept ones count by when this one landed, not by when it is read."""
+        """Returns the known attempts under the request's key. Expiry of the kept ones is judged at the time
+        the request arrived, not at the time it is read."""
         if not request.key:
             return []
         return [
@@ -471,21 +475,22 @@
         ]
 
     def _is_key_conflict(self, request: Request, now: int) -> bool:
-        """Whether its key stands for another request, which has another body or tenant: no repeat, so it must
-        not get that one's result; under a key that is taken it must not run either."""
+        """Whether its key belongs to a request with another body or tenant. It is no repeat then, so it must
+        not get that one's result, and it must not run under a key that is taken."""
         return any(
             (entry.request.doc, entry.request.customer) != (request.doc, request.customer)
             for entry in self._known_attempts(request, now)
         )
 
     def _find_prior(self, request: Request, now: int) -> Entry | None:
-        """The try that this one repeats: one that ran first of all, or one that is open here."""
+        """Returns the attempt that this request repeats: preferably one that ran, otherwise the latest."""
         attempts = self._known_attempts(request, now)
         return next((entry for entry in attempts if entry.txn.ran), attempts[-1] if attempts else None)
 
     def _record_attempt(self, entry: Entry, until: int) -> None:
-        """From the reading on, kept or not: two that are read together must know of each other. What ran
-        stays for a while past its time, since txns are not read in the order of their landing."""
+        """Keeps the attempt under its key until the given time. It is recorded as soon as it is read, so that
+        two attempts that are read together find each other. One that ran stays for a while after its
+        expiry, since txns are not read in the order of their arrival."""
         now, key = self.now(), (entry.request.product, entry.request.key)
         max_read_delay_us = self.max_read_delays_us.get(entry.request.product, 0)
         attempts = [
@@ -508,12 +513,12 @@
             self.keyed_entries = {
                 other.txn.ref: other for attempts in self.keys.values() for other, _ in attempts
             }
-            for old in [old for old in self.results if old.txn.ref not in self.keyed_entries]:
-                self.results_bytes -= self.results.pop(old)
+            for expired in [each for each in self.results if each.txn.ref not in self.keyed_entries]:
+                self.results_bytes -= self.results.pop(expired)
             self.prune_at = 2 * len(self.keyed_entries) + 256
 
     def _forget_attempt(self, entry: Entry) -> None:
-        """It never began: its key is free for the request that it belongs to."""
+        """Removes an attempt that never began: its key is free for the request that it belongs to."""
         key = (entry.request.product, entry.request.key)
         self.keys[key] = [each for each in self.keys.get(key, []) if each[0] is not entry]
 
@@ -524,10 +529,11 @@
         while self.results_bytes > self.max_results_bytes:
             oldest, size = self.results.popitem(last=False)
             self.results_bytes -= size
-            oldest.result = None  # its repeats are voided from now on: it ran
+            oldest.result = None  # it ran, so its repeats are voided from now on
 
     def _add_repeat(self, entry: Entry) -> None:
-        """Which try it repeats is the brain's to say: a dead one's place may have gone to another since."""
+        """Attaches a repeat to the attempt that the brain names: since its submission, the place of one that
+        never ran may have gone to another."""
         entry.prior = None if entry.txn.prior is None else self.keyed_entries.get(entry.txn.prior.ref)
         if entry.prior is not None and entry.prior.txn.stage is not Stage.OVER:
             entry.prior.waiting_repeats.append(entry)
@@ -535,7 +541,7 @@
             self.ready_repeats.append(entry)
 
     def _end_repeat(self, entry: Entry) -> None:
-        """A repeat ends with what the txn it joined came to."""
+        """Ends a repeat with the result of the txn that it repeats."""
         if entry.txn.stage is not Stage.OVER:
             result = entry.prior.result if entry.prior is not None else None
             self._end_run(
--- a/limeridge/sim/mutants.py
+++ b/limeridge/sim/mutants.py
@@ -429,8 +429,8 @@
     _m(
         "cold-as-warm",
         FACADE,
-        "self._notify_brain(self.brain.booted, cold, self.now() - ago)",
-        "self._notify_brain(self.brain.booted, False, self.now() - ago)",
+        "self._notify_brain(self.brain.booted, cold, self.now() - ago_us)",
+        "self._notify_brain(self.brain.booted, False, self.now() - ago_us)",
         "a cold kernel is taken for a warm one",
     ),
     _m(
