--- a/limeridge/__main__.py
+++ b/limeridge/__main__.py
@@ -12,7 +12,7 @@
 import sys
 from typing import Any
 
-from limeridge.config import Setup, Unusable, path_from, read, reading
+from limeridge.config import ConfigError, Setup, config_path, read, reading
 from limeridge.configuration.reading import Steps
 
 
@@ -27,35 +27,35 @@
         except OSError:
             os.open(os.devnull, os.O_RDWR)
     try:
-        setup = read(path_from())
+        setup = read(config_path())
         peers = _peers(sys.argv[1:]) if len(sys.argv) > 1 else None
         # Until it serves there is nothing to drain.
         signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
         from limeridge.net.service import run
 
         return run(setup, _reread, peers)
-    except Unusable as unusable:
-        print(f"limeridge: {' '.join(str(unusable).split())}", file=sys.stderr)
+    except ConfigError as error:
+        print(f"limeridge: {' '.join(str(error).split())}", file=sys.stderr)
         return 2
 
 
-def _reread(before: Setup, now: int) -> Steps[Setup]:
-    return reading(path_from(), before=before, now=now)
+def _reread(previous: Setup, now_us: int) -> Steps[Setup]:
+    return reading(config_path(), previous=previous, now_us=now_us)
 
 
-def _peers(words: list[str]) -> Any:
+def _peers(arguments: list[str]) -> Any:
     """What makes the part of membership out of the file that the arguments name."""
     import argparse
 
     parser = argparse.ArgumentParser("python -m limeridge", description="Starts one service instance.")
     parser.add_argument("--peers", metavar="FILE", help="settings of membership, in protobuf text format")
-    path = parser.parse_args(words).peers
+    path = parser.parse_args(arguments).peers
     if path is None:
         return None
     try:
         from limeridge.peers.join import joining
-    except ImportError as trouble:
-        raise Unusable(f"--peers: expected the extra `peers` to be installed: {trouble}") from None
+    except ImportError as error:
+        raise ConfigError(f"--peers: expected the extra `peers` to be installed: {error}") from None
     return joining(path)
 
 
--- a/limeridge/config.py
+++ b/limeridge/config.py
@@ -1,10 +1,10 @@
-"""The one place where configuration is read, checked and given defaults.
+"""Reads and validates the configuration file and fills in defaults.
 
-It owns the file's keys with their types, ranges and defaults, and turns the settings into the brain's one
-plain map and the table of tenants. It must never act on a name of a deployment, place, product, customer or
-machine, and never let a value through that the rest could trip over: `Unusable` names the key and what was
-expected. A file is read in steps (`reading`), which a start runs through at once and a running instance a few
-in each turn of its event loop.
+It owns the file's keys with their types, ranges and defaults, and turns the settings into the brain's flat
+mapping and the table of tenants. It must never act on a name of a deployment, place, product, customer or
+machine, nor accept a value that later code cannot handle: `ConfigError` names the key and what was expected.
+A file is read in steps (`reading`): all at once at startup, a few per event loop iteration in a running
+instance.
 """
 
 from __future__ import annotations
@@ -35,8 +35,8 @@
 from limeridge.words import Value, pairs_of, settings_of
 
 
-class Unusable(Exception):
-    """One line: the faulty key and what was expected."""
+class ConfigError(Exception):
+    """Invalid configuration; the text is one line with the key and what was expected."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Setup:
-    """What a service instance is told, checked."""
+    """The validated configuration of a service instance."""
 
     name: str
     listen: Address
@@ -55,33 +55,33 @@
     ledger: Address
     node_list: Address
     seed: int
-    stop: int  # microseconds from the notice to leave to the kill
-    cores: float  # for the log alone: the program has one thread
+    stop: int  # microseconds from SIGTERM until the process is killed
+    cores: float  # only logged: the program has one thread
     memory_mb: float
     sockets: int
-    products: tuple[str, ...]  # the names that callers and the kernel use, as they stand in the file
+    products: tuple[str, ...]  # names as in the file, which callers and the kernel use
     tenants: TenantTable
     plain: Mapping[str, Value]
 
 
-# Within `settings`, `N` for each item of a list: type, least, most, whether it must be there.
+# By path within `settings`, where `N` stands for each item of a list: type, minimum, maximum, required.
 INT, FLOAT, BOOL = "a whole number", "a number", "true or false"
 TEXT, LIST, OBJECT = "a text", "a list", "an object"
-YEAR = 31_536_000_000_000  # microseconds; times beyond it are a wrong unit
+YEAR_US = 31_536_000_000_000  # maximum of all times; a longer one must have been given in a wrong unit
 SETTINGS: dict[str, tuple[str, float, float, bool]] = {
     "classes": (LIST, 1, 1_000, True),
     "classes.N.name": (TEXT, 1, 256, True),
-    "classes.N.aim": (INT, 1, YEAR, True),
-    "classes.N.deadline": (INT, 1, YEAR, True),
+    "classes.N.aim": (INT, 1, YEAR_US, True),
+    "classes.N.deadline": (INT, 1, YEAR_US, True),
     "classes.N.idempotency": (TEXT, 1, 64, False),
-    "classes.N.keyTtl": (INT, 0, YEAR, False),
+    "classes.N.keyTtl": (INT, 0, YEAR_US, False),
     "classes.N.worth": (FLOAT, 0, 1e12, False),
     "classes.N.lateWorth": (FLOAT, 0, 1e12, False),
     "accounts": (LIST, 0, 1_000_000, False),
     "accounts.N.name": (TEXT, 1, 256, True),
     "accounts.N.quotaPerS": (FLOAT, 0, 1e12, False),
     "ceilings": (OBJECT, 0, 0, False),
-    "ceilings.maxRetryAfter": (INT, 0, YEAR, False),
+    "ceilings.maxRetryAfter": (INT, 0, YEAR_US, False),
     "ceilings.retryAfter": (BOOL, 0, 0, False),
     "clients": (OBJECT, 0, 0, False),
     "clients.marksRetry": (BOOL, 0, 0, False),
@@ -89,18 +89,18 @@
     "familyInfo.cpus": (INT, 1, 100_000, True),
     "familyInfo.callers": (INT, 0, 1e9, False),
     "familyInfo.callsOut": (FLOAT, 0, 1e9, False),
-    "familyInfo.callsOver": (INT, 1, YEAR, False),
+    "familyInfo.callsOver": (INT, 1, YEAR_US, False),
     "familyInfo.classCalls": (LIST, 0, 1_000, False),
     "familyInfo.classCalls.N": (BOOL, 0, 0, False),
     "familyInfo.classSkipWorth": (LIST, 0, 1_000, False),
     "familyInfo.classSkipWorth.N": (FLOAT, 0, 1e9, False),
     "familyInfo.gauges": (LIST, 0, 64, False),
     "familyInfo.gauges.N": (TEXT, 1, 64, False),
-    "familyInfo.heeded": (INT, 0, YEAR, False),
-    "familyInfo.idle": (INT, 0, YEAR, False),
+    "familyInfo.heeded": (INT, 0, YEAR_US, False),
+    "familyInfo.idle": (INT, 0, YEAR_US, False),
     "familyInfo.justStarted": (BOOL, 0, 0, False),
     "familyInfo.kbPerKey": (FLOAT, 0, 1e12, False),
-    "familyInfo.linger": (INT, 0, YEAR, False),
+    "familyInfo.linger": (INT, 0, YEAR_US, False),
     "familyInfo.memoryKb": (FLOAT, 1, 1e15, False),
     "familyInfo.passesDeadline": (BOOL, 0, 0, False),
     "familyInfo.preemption": (TEXT, 1, 64, False),
@@ -113,14 +113,14 @@
     "goal.worstTenant": (FLOAT, 0, 1e9, False),
     "groupSize": (INT, 0, 1e9, False),
     "guarantees": (OBJECT, 0, 0, False),
-    "guarantees.answerSlack": (INT, 0, YEAR, False),
+    "guarantees.answerSlack": (INT, 0, YEAR_US, False),
     "guarantees.coldFrom": (FLOAT, 0, 1, False),
-    "guarantees.drainGrace": (INT, 0, YEAR, False),
-    "guarantees.fall": (INT, 0, YEAR, False),
+    "guarantees.drainGrace": (INT, 0, YEAR_US, False),
+    "guarantees.fall": (INT, 0, YEAR_US, False),
     "guarantees.overloadFactor": (FLOAT, 1, 1e9, False),
-    "guarantees.rampTime": (INT, 0, YEAR, False),
+    "guarantees.rampTime": (INT, 0, YEAR_US, False),
     "overShareWorth": (FLOAT, 0, 1e9, False),
-    "round": (INT, 0, YEAR, False),
+    "round": (INT, 0, YEAR_US, False),
     "valueBy": (TEXT, 1, 64, False),
 }
 SURROGATE = re.compile("[\ud800-\udfff]")
@@ -135,76 +135,82 @@
 
 
 ACCOUNT_TERMS = ("name", "quotaPerS")
-CHECKS_PER_STEP = 32  # settings that are checked at once
-CHECKS_WORK = 8
-PAIRS_PER_STEP = 16  # of settings that are turned into the plain map at once
-PAIRS_WORK = 4
-RETIREMENTS_PER_STEP = 100  # numbers of tenants that are looked at at once, for those that went
-RETIREMENTS_WORK = 25
+CHECKS_PER_STEP = 32  # settings that are checked in one step
+CHECKS_COST = 8  # cost of such a step, in the unit of `Steps`
+PAIRS_PER_STEP = 16  # settings that are flattened in one step
+PAIRS_COST = 4
+RETIREMENTS_PER_STEP = 100  # tenant numbers that are checked in one step for removed tenants
+RETIREMENTS_COST = 25
 
 
 def read(path: str | None, load: Callable[[str], Iterable[bytes]] = file_pieces) -> Setup:
-    """The file that `BALANCER_CONFIG` names, read in one go. Raises Unusable."""
+    """Reads the file that `BALANCER_CONFIG` names, without pauses. Raises ConfigError."""
     return run_through(reading(path, load))
 
 
 def reading(
     path: str | None,
     load: Callable[[str], Iterable[bytes]] = file_pieces,
-    before: Setup | None = None,
-    now: int = 0,
+    previous: Setup | None = None,
+    now_us: int = 0,
 ) -> Steps[Setup]:
-    """The steps of reading it; `load` gives its content in pieces, and raises OSError where it can't be had.
+    """Reads the file in steps; `load` returns its content in chunks and raises OSError if it can't be read.
 
-    Tenants keep the numbers that they have in `before`. `now` are microseconds of a clock that does not go
-    back. Raises Unusable.
+    Tenants keep the numbers that they have in `previous`. `now_us` is the time of a monotonic clock. Raises
+    ConfigError.
     """
     if not path:
-        raise Unusable("BALANCER_CONFIG: expected the path of the configuration file, it is not set")
-    accounts = Accounts(before, now)
+        raise ConfigError("BALANCER_CONFIG: expected the path of the configuration file, it is not set")
+    accounts = AccountReader(previous, now_us)
     try:
         value = yield from Document(load(path), {"settings.accounts": accounts.begin}).read()
-    except OSError as trouble:
-        raise Unusable(f"BALANCER_CONFIG: expected a file that can be read, got {trouble.strerror}") from None
+    except OSError as error:
+        raise ConfigError(
+            f"BALANCER_CONFIG: expected a file that can be read, got {error.strerror}"
+        ) from None
     except ChangedMeanwhile:
-        raise Unusable("BALANCER_CONFIG: expected a file that stays while it is read, it changed") from None
-    except BadDocument as trouble:
-        raise Unusable(f"BALANCER_CONFIG: expected JSON, got {trouble}") from None
+        raise ConfigError(
+            "BALANCER_CONFIG: expected a file that stays while it is read, it changed"
+        ) from None
+    except BadDocument as error:
+        raise ConfigError(f"BALANCER_CONFIG: expected JSON, got {error}") from None
     if not isinstance(value, dict):
-        raise Unusable("BALANCER_CONFIG: expected a JSON object")
-    return (yield from _setting_up(value, accounts))
+        raise ConfigError("BALANCER_CONFIG: expected a JSON object")
+    return (yield from _build_setup(value, accounts))
 
 
-def setup_of(value: dict[str, Any]) -> Setup:
-    """The same out of a value that was decoded already. Raises Unusable."""
-    accounts, settings = Accounts(None, 0), value.get("settings")
+def parse_setup(value: dict[str, Any]) -> Setup:
+    """Validates a configuration that was already decoded from JSON. Raises ConfigError."""
+    accounts, settings = AccountReader(None, 0), value.get("settings")
     if isinstance(settings, dict) and isinstance(listed := settings.get("accounts"), list):
-        take = accounts.begin()
+        add = accounts.begin()
         for item in listed:
-            take(item)
+            add(item)
         value = value | {"settings": settings | {"accounts": []}}
-    return run_through(_setting_up(value, accounts))
+    return run_through(_build_setup(value, accounts))
 
 
-def _setting_up(value: dict[str, Any], accounts: Accounts) -> Steps[Setup]:
+def _build_setup(value: dict[str, Any], accounts: AccountReader) -> Steps[Setup]:
     seed = str(_get(value, "seed", TEXT, 1, 64))
     try:
         seed_number = int(seed, 16)
     except ValueError:
-        raise Unusable("seed: expected hex digits") from None
+        raise ConfigError("seed: expected hex digits") from None
     settings = _get(value, "settings", OBJECT, 0, 0)
     if settings.get("accounts") is None:
-        accounts.begin()  # against those of a `settings` that stood before in the file
+        accounts.begin()  # discards the accounts of an earlier, duplicate `settings` key of the file
     yield from _check_settings(settings, accounts)
-    plain = yield from _flattened({name: inner for name, inner in settings.items() if name != "accounts"})
+    plain = yield from _flatten_settings(
+        {name: inner for name, inner in settings.items() if name != "accounts"}
+    )
     products = tuple(each["name"] for each in settings["classes"])
-    accounts.keep_for(longest_memory(plain, len(products)))
+    accounts.extend_retention(max_retention_us(plain, len(products)))
     return Setup(
         name=str(_get(value, "name", TEXT, 1, 256)),
-        listen=_address(value, "listen"),
-        kernel=_address(value, "kernel"),
-        ledger=_address(value, "records"),
-        node_list=_address(value, "roster"),
+        listen=_parse_address(value, "listen"),
+        kernel=_parse_address(value, "kernel"),
+        ledger=_parse_address(value, "records"),
+        node_list=_parse_address(value, "roster"),
         seed=seed_number,
         stop=int(1_000 * _get(value, "stop_ms", FLOAT, 1, 3_600_000, 3_000)),
         cores=float(_get(value, "limits.cores", FLOAT, 0.001, 1e6, 1.0)),
@@ -216,116 +222,121 @@
     )
 
 
-def longest_memory(plain: Mapping[str, Any], classes: int) -> int:
-    """Microseconds for which a request, or its key, may be known after it arrived."""
+def max_retention_us(plain: Mapping[str, Any], classes: int) -> int:
+    """Returns for how long a request or its key may be kept after it arrived."""
     return max(
         int(plain.get(f"products.{number}.window", 0)) + 2 * int(plain.get(f"products.{number}.expiry", 0))
         for number in range(classes)
     )
 
 
-class Accounts:
-    """The items of `settings.accounts`, checked and put into the next table of tenants one at a time.
+class AccountReader:
+    """Validates the items of `settings.accounts` and adds them to the next table of tenants one at a time.
 
-    The first fault is kept: it is told once it is known that the file is JSON.
+    The first error is kept in `fault`, to be raised once the whole file is known to be valid JSON.
     """
 
-    def __init__(self, before: Setup | None, now: int) -> None:
-        self._before = None if before is None else before.tenants
-        self._now = now
-        self._kept_for = RETENTION
-        if before is not None:
-            self.keep_for(longest_memory(before.plain, len(before.products)))
+    def __init__(self, previous: Setup | None, now_us: int) -> None:
+        self._previous = None if previous is None else previous.tenants
+        self._now_us = now_us
+        self._retention_us = RETENTION
+        if previous is not None:
+            self.extend_retention(max_retention_us(previous.plain, len(previous.products)))
         self._builder: TenantTableBuilder
         self.count = 0
-        self.fault: Unusable | None = None
+        self.fault: ConfigError | None = None
 
     def begin(self) -> Callable[[Any], None]:
-        """A list of accounts begins, in place of any that began before; gives what takes its items."""
-        self._builder = TenantTableBuilder(self._before, now=self._now)
+        """Starts a list of accounts, discarding any earlier one; returns the function to add its items
+        with."""
+        self._builder = TenantTableBuilder(self._previous, now=self._now_us)
         self.count, self.fault = 0, None
-        return self.take
+        return self.add
 
-    def take(self, item: Any) -> None:
+    def add(self, item: Any) -> None:
         number, self.count = self.count, self.count + 1
         if self.fault is None:
             try:
                 self._add(number, item)
-            except Unusable as fault:
+            except ConfigError as fault:
                 self.fault = fault
 
     def _add(self, number: int, item: Any) -> None:
-        """The table has the same bounds; what it refuses is looked at for what to say of it."""
+        """Adds an account. The table enforces the same bounds; an item that it refuses is checked again here
+        for the error message."""
         try:
             name, quota = item["name"], item.get("quotaPerS")
             self._builder.add(name, 0.0 if quota is None else quota)
             if not name.isascii():
                 _check_account(number, item)
         except DuplicateTenant:
-            told = f"settings.accounts.{number}.name: expected a name of its own, an earlier account has it"
-            raise Unusable(told) from None
+            message = (
+                f"settings.accounts.{number}.name: expected a name of its own, an earlier account has it"
+            )
+            raise ConfigError(message) from None
         except TenantFault as fault:
             _check_account(number, item)
-            raise Unusable(f"settings.accounts.{number}: {fault.fault}") from None
+            raise ConfigError(f"settings.accounts.{number}: {fault.fault}") from None
         except (AttributeError, KeyError, TypeError):
             _check_account(number, item)
             raise
 
-    def keep_for(self, span: int) -> None:
-        """A tenant that goes keeps its number for at least so many microseconds."""
-        self._kept_for = max(self._kept_for, span)
+    def extend_retention(self, span_us: int) -> None:
+        """Keeps the numbers of removed tenants reserved for at least `span_us`."""
+        self._retention_us = max(self._retention_us, span_us)
 
     def build_steps(self) -> Steps[TenantTable]:
-        self._builder.retired_until = self._now + self._kept_for
+        self._builder.retired_until = self._now_us + self._retention_us
         for _ in self._builder.build_steps(RETIREMENTS_PER_STEP):
-            yield RETIREMENTS_WORK
+            yield RETIREMENTS_COST
         return self._builder.table
 
 
 def _check_account(number: int, item: Any) -> None:
     if item is None:
-        raise Unusable(f"settings.accounts.{number}: expected an item, it is null")
+        raise ConfigError(f"settings.accounts.{number}: expected an item, it is null")
     if not isinstance(item, dict):
-        raise Unusable(f"settings.accounts.{number}: expected an object")
+        raise ConfigError(f"settings.accounts.{number}: expected an object")
     for term in ACCOUNT_TERMS:
-        _check_place(f"accounts.{number}.{term}", item.get(term), *SETTINGS[f"accounts.N.{term}"])
+        _check_setting(f"accounts.{number}.{term}", item.get(term), *SETTINGS[f"accounts.N.{term}"])
 
 
-def _flattened(settings: dict[str, Any]) -> Steps[dict[str, Value]]:
+def _flatten_settings(settings: dict[str, Any]) -> Steps[dict[str, Value]]:
     pairs = pairs_of(settings)
     plain: dict[str, Value] = {}
     try:
-        while some := list(islice(pairs, PAIRS_PER_STEP)):
-            plain |= settings_of(some)
-            yield PAIRS_WORK
+        while batch := list(islice(pairs, PAIRS_PER_STEP)):
+            plain |= settings_of(batch)
+            yield PAIRS_COST
     except RecursionError:
-        raise Unusable("settings: expected fewer levels one in the other") from None
+        raise ConfigError("settings: expected fewer levels one in the other") from None
     return plain
 
 
-def _check_settings(settings: dict[str, Any], accounts: Accounts) -> Steps[None]:
+def _check_settings(settings: dict[str, Any], accounts: AccountReader) -> Steps[None]:
     checked = 0
-    for path, (kind, least, most, needed) in SETTINGS.items():
-        if path == "accounts" and accounts.count > most:
-            raise Unusable(f"settings.accounts: expected {kind} of {least:g} to {most:g} items")
+    for path, (kind, minimum, maximum, required) in SETTINGS.items():
+        if path == "accounts" and accounts.count > maximum:
+            raise ConfigError(f"settings.accounts: expected {kind} of {minimum:g} to {maximum:g} items")
         if path == "accounts" and accounts.fault is not None:
             raise accounts.fault
-        for name, found in _places(settings, path):
-            _check_place(name, found, kind, least, most, needed)
+        for name, found in _find_settings(settings, path):
+            _check_setting(name, found, kind, minimum, maximum, required)
             checked += 1
             if checked % CHECKS_PER_STEP == 0:
-                yield CHECKS_WORK
+                yield CHECKS_COST
 
 
-def _check_place(name: str, found: Any, kind: str, least: float, most: float, needed: bool) -> None:
+def _check_setting(name: str, found: Any, kind: str, minimum: float, maximum: float, required: bool) -> None:
     if found is not None:
-        _check(f"settings.{name}", found, kind, least, most)
-    elif needed:
-        raise Unusable(f"settings.{name}: expected {kind}, it is missing")
+        _check_value(f"settings.{name}", found, kind, minimum, maximum)
+    elif required:
+        raise ConfigError(f"settings.{name}: expected {kind}, it is missing")
 
 
-def _places(value: Any, path: str, name: str = "") -> Iterator[tuple[str, Any]]:
-    """Where `path` leads, with its full name; None where it is absent, nothing where its holder is."""
+def _find_settings(value: Any, path: str, name: str = "") -> Iterator[tuple[str, Any]]:
+    """Yields the full name and value of each setting that matches `path`: the value is None if it is absent,
+    and nothing is yielded if its parent is absent."""
     part, _, rest = path.partition(".")
     if part == "N":
         inner = list(enumerate(value)) if isinstance(value, list) else []
@@ -334,55 +345,56 @@
             return
         inner = [(part, value.get(part))]  # type: ignore[list-item]
     for key, found in inner:
-        full = f"{name}.{key}" if name else str(key)
+        full_name = f"{name}.{key}" if name else str(key)
         if part == "N" and found is None:
-            raise Unusable(f"settings.{full}: expected an item, it is null")
+            raise ConfigError(f"settings.{full_name}: expected an item, it is null")
         if not rest:
-            yield full, found
+            yield full_name, found
         elif found is not None:
             if rest.partition(".")[0] != "N" and not isinstance(found, dict):
-                raise Unusable(f"settings.{full}: expected an object")
-            yield from _places(found, rest, full)
+                raise ConfigError(f"settings.{full_name}: expected an object")
+            yield from _find_settings(found, rest, full_name)
 
 
-def _check(name: str, value: Any, kind: str, least: float, most: float) -> None:
+def _check_value(name: str, value: Any, kind: str, minimum: float, maximum: float) -> None:
     fits = isinstance(value, TYPES[kind]) and (kind == BOOL or not isinstance(value, bool))
     if not fits:
-        raise Unusable(f"{name}: expected {kind}")
-    if kind in (INT, FLOAT) and not least <= value <= most:
-        raise Unusable(f"{name}: expected {kind} from {least:g} to {most:g}")
+        raise ConfigError(f"{name}: expected {kind}")
+    if kind in (INT, FLOAT) and not minimum <= value <= maximum:
+        raise ConfigError(f"{name}: expected {kind} from {minimum:g} to {maximum:g}")
     if kind == TEXT and not value.isascii() and SURROGATE.search(value):
-        raise Unusable(f"{name}: expected {kind} of whole characters, half of a pair stands alone")
-    if kind in (TEXT, LIST) and not least <= len(value) <= most:
-        raise Unusable(
-            f"{name}: expected {kind} of {least:g} to {most:g} {'items' if kind == LIST else 'characters'}"
-        )
+        raise ConfigError(f"{name}: expected {kind} of whole characters, half of a pair stands alone")
+    if kind in (TEXT, LIST) and not minimum <= len(value) <= maximum:
+        unit = "items" if kind == LIST else "characters"
+        raise ConfigError(f"{name}: expected {kind} of {minimum:g} to {maximum:g} {unit}")
 
 
-def _get(value: dict[str, Any], path: str, kind: str, least: float, most: float, default: Any = None) -> Any:
+def _get(
+    value: dict[str, Any], path: str, kind: str, minimum: float, maximum: float, default: Any = None
+) -> Any:
     for part in path.split("."):
         if not isinstance(value, dict):
-            raise Unusable(f"{path}: expected an object around {part}")
+            raise ConfigError(f"{path}: expected an object around {part}")
         value = value.get(part)  # type: ignore[assignment]
         if value is None:
             if default is None:
-                raise Unusable(f"{path}: expected {kind}, it is missing")
+                raise ConfigError(f"{path}: expected {kind}, it is missing")
             return default
-    _check(path, value, kind, least, most)
+    _check_value(path, value, kind, minimum, maximum)
     return value
 
 
-def _address(value: dict[str, Any], name: str) -> Address:
-    given = str(_get(value, name, TEXT, 1, 256))
-    host, _, port = given.rpartition(":")
+def _parse_address(value: dict[str, Any], name: str) -> Address:
+    address = str(_get(value, name, TEXT, 1, 256))
+    host, _, port = address.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
     except ValueError:
-        raise Unusable(f"{name}: expected an IP address and a port, as in 127.0.0.1:8443") from None
+        raise ConfigError(f"{name}: expected an IP address and a port, as in 127.0.0.1:8443") from None
     if not port.isdecimal() or not 1 <= int(port) <= 65_535:
-        raise Unusable(f"{name}: expected a port from 1 to 65535 behind the address")
+        raise ConfigError(f"{name}: expected a port from 1 to 65535 behind the address")
     return Address(host.strip("[]"), int(port))
 
 
-def path_from(environ: Mapping[str, str] = os.environ) -> str | None:
+def config_path(environ: Mapping[str, str] = os.environ) -> str | None:
     return environ.get("BALANCER_CONFIG")
--- a/limeridge/net/service.py
+++ b/limeridge/net/service.py
@@ -24,7 +24,7 @@
 from twisted.python.failure import Failure
 
 from limeridge import __version__
-from limeridge.config import Setup, Unusable
+from limeridge.config import ConfigError, Setup
 from limeridge.configuration.application import FIXED_FOR_MEMBERS, revised
 from limeridge.configuration.reading import Steps, run_turn
 from limeridge.facade import (
@@ -379,7 +379,7 @@
             return
         try:
             new = run_turn(self.loading)
-        except Unusable as unusable:
+        except ConfigError as unusable:
             self.loading = None
             self.log.event("reload", "unusable", why=" ".join(str(unusable).split()), tries_left=tries)
             if tries:
@@ -517,7 +517,7 @@
 
 
 def run(setup: Setup, reread: Reread, peers: Callable[[Setup, Any, Log], Peers] | None = None) -> int:
-    """`peers` makes the part of membership; it raises Unusable where its settings don't fit the
+    """`peers` makes the part of membership; it raises ConfigError where its settings don't fit the
     instance's."""
     from twisted.internet import reactor as the_reactor
 
--- a/limeridge/peers/join.py
+++ b/limeridge/peers/join.py
@@ -1,6 +1,6 @@
 """From the file of membership to the part that an instance takes along.
 
-It owns the one step between them; faults of the file become the configuration's own `Unusable`.
+It owns the one step between them; faults of the file become the configuration's own `ConfigError`.
 """
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from limeridge.config import Setup, Unusable
+from limeridge.config import ConfigError, Setup
 from limeridge.peers.link import Link
 from limeridge.peers.setup import read
 from limeridge.settings.load import Unusable as BadFile
@@ -16,10 +16,10 @@
 
 def joining(path: str) -> Callable[[Setup, Any, Any], Link]:
     """Reads the file of membership at `path`; what is returned makes the member of an instance. Raises
-    Unusable where the file is at fault, and so does the call of what is returned where it does not fit
+    ConfigError where the file is at fault, and so does the call of what is returned where it does not fit
     the configuration."""
     try:
         peers = read(path)
     except BadFile as bad:
-        raise Unusable(str(bad)) from None
+        raise ConfigError(str(bad)) from None
     return lambda setup, reactor, log: Link(setup, peers, reactor, log)
--- a/limeridge/peers/link.py
+++ b/limeridge/peers/link.py
@@ -24,7 +24,7 @@
 from twisted.python.failure import Failure
 
 from limeridge import __version__
-from limeridge.config import Setup, Unusable
+from limeridge.config import ConfigError, Setup
 from limeridge.duty.allot import Taker
 from limeridge.duty.allot import Terms as AllotTerms
 from limeridge.duty.allotting import DUTY as ALLOT
@@ -245,7 +245,7 @@
         unix: Callable[[], float] = time.time,
         draw: Callable[[], int] | None = None,
     ) -> None:
-        """Raises Unusable where the two don't go together."""
+        """Raises ConfigError where the two don't go together."""
         self.setup, self.reactor, self.log, self.clock, self.key = setup, reactor, log, clock, peers.key
         self.unix = unix
         self.show = peers.show
@@ -282,7 +282,7 @@
         most = max(int(plain.get(f"products.{number}.expiry", 0)) for number in range(len(setup.products)))
         longest = most + linger
         if peers.longest_told and peers.terms.longest < longest:
-            raise Unusable(
+            raise ConfigError(
                 f"peers: shares.longest_ms: expected {longest / MS:g} or more, the longest "
                 "deadline and what the ledger keeps after it"
             )
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -15,7 +15,7 @@
 from twisted.python.failure import Failure
 
 from limeridge.brain import Brain
-from limeridge.config import reading, setup_of
+from limeridge.config import parse_setup, reading
 from limeridge.facade import OUTCOMES, Answer, AnswerKind, CallEnded, Facade, Request, RunBlocked, RunEnded
 from limeridge.interface import Decision, Outcome, Stage, Txn, Verb
 from limeridge.net.callers import Frames, frame
@@ -504,7 +504,7 @@
     def __init__(self, **changes: Any) -> None:
         self.reactor, self.log = Reactor(), Sink()
         self.reactor.advance(100.0)
-        setup = setup_of(SAMPLE | changes)
+        setup = parse_setup(SAMPLE | changes)
         self.file: dict[str, Any] = SAMPLE | changes  # what a reload finds
         self.instance = Instance(
             setup,
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -19,7 +19,7 @@
 from helpers import MOST, SAMPLE, Sink
 from twisted.internet.epollreactor import EPollReactor
 
-from limeridge.config import reading, setup_of
+from limeridge.config import parse_setup, reading
 from limeridge.net.callers import Frames, frame
 from limeridge.net.service import Instance
 
@@ -175,7 +175,7 @@
         )
         self.log = Sink()
         self.instance = Instance(
-            setup_of(self.file),
+            parse_setup(self.file),
             self.reactor,
             self.log,  # type: ignore[arg-type]
             lambda before, now: reading("config", lambda _: [orjson.dumps(self.file)], before, now),
--- a/tests/test_configuration_live.py
+++ b/tests/test_configuration_live.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from limeridge.brain import TARGET
-from limeridge.config import SETTINGS, Setup, Unusable, reading, setup_of
+from limeridge.config import SETTINGS, ConfigError, Setup, parse_setup, reading
 from limeridge.configuration.application import FIXED_FOR_MEMBERS, LIVE_SETTINGS, revised
 from limeridge.configuration.names import NameTableEditor
 from limeridge.configuration.reading import (
@@ -246,8 +246,8 @@
 )
 def test_a_fault_in_an_account_is_told_by_its_entry(accounts: Any, told: str) -> None:
     value = SAMPLE | {"settings": SAMPLE["settings"] | {"accounts": accounts}}
-    for steps in (lambda: run_through(steps_of(json.dumps(value).encode())), lambda: setup_of(value)):
-        with pytest.raises(Unusable) as fault:
+    for steps in (lambda: run_through(steps_of(json.dumps(value).encode())), lambda: parse_setup(value)):
+        with pytest.raises(ConfigError) as fault:
             steps()
         assert str(fault.value).startswith(f"settings.{told}")
 
@@ -258,7 +258,7 @@
     steps = reading(str(path))
     assert run_turn(steps) is None
     path.write_bytes(orjson.dumps(many(5_000, name="n2")))
-    with pytest.raises(Unusable, match="it changed"):
+    with pytest.raises(ConfigError, match="it changed"):
         run_through(steps)
 
 
@@ -432,9 +432,9 @@
 def test_every_setting_is_either_live_or_told() -> None:
     assert set(SETTINGS) >= LIVE_SETTINGS and {"accounts", "familyInfo.cpus"}.isdisjoint(LIVE_SETTINGS)
     assert FIXED_FOR_MEMBERS < LIVE_SETTINGS
-    old = setup_of(SAMPLE)
+    old = parse_setup(SAMPLE)
     longer = [each | {"deadline": 9_000_000} for each in SAMPLE["settings"]["classes"]]
-    new = setup_of(SAMPLE | {"settings": SAMPLE["settings"] | {"classes": longer}})
+    new = parse_setup(SAMPLE | {"settings": SAMPLE["settings"] | {"classes": longer}})
     assert revised(old, new).needs_restart == () and revised(old, new).setup.plain == new.plain
     members = revised(old, new, FIXED_FOR_MEMBERS)
     assert members.needs_restart == ("settings.classes.0.deadline", "settings.classes.1.deadline")
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -14,7 +14,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from limeridge.config import Unusable, read, setup_of
+from limeridge.config import ConfigError, parse_setup, read
 from limeridge.facade import Answer, AnswerKind, EndStatus, RunBlocked, RunEnded
 from limeridge.net import callers, kernel, ledger
 from limeridge.words import settings_of
@@ -186,7 +186,7 @@
     )
 )
 def test_any_json_is_decoded_to_a_message_or_a_fault(value: Any) -> None:
-    decoder = callers.Decoder(["look"], setup_of(SAMPLE).tenants)
+    decoder = callers.Decoder(["look"], parse_setup(SAMPLE).tenants)
     message = decoder.decode(json.dumps(value).encode())
     assert isinstance(message, callers.Ask | callers.Revoke | callers.Heartbeat | callers.Fault)
 
@@ -274,7 +274,7 @@
         "guarantees.rampTime=10000000 ceilings.retryAfter=true ceilings.maxRetryAfter=1000000 groupSize=3 "
         "round=5000 clients.marksRetry=true valueBy=work zones=a,b"
     )
-    setup = setup_of(SAMPLE)
+    setup = parse_setup(SAMPLE)
     plain = setup.plain
     told = settings_of((name, value) for name, _, value in (p.partition("=") for p in text.split()))
     customers = {name: told.pop(name) for name in list(told) if name.startswith("customers.")}
@@ -311,8 +311,8 @@
     ],
 )
 def test_bad_configuration_is_told_by_its_key(path: str, value: object) -> None:
-    with pytest.raises(Unusable) as told:
-        setup_of(changed(path, value))
+    with pytest.raises(ConfigError) as told:
+        parse_setup(changed(path, value))
     assert str(told.value).startswith(path + ":") and "expected" in str(told.value)
 
 
@@ -337,8 +337,8 @@
 )
 def test_any_value_is_taken_or_told(path: str, value: Any) -> None:
     try:
-        setup_of(changed(path, value))
-    except Unusable as told:
+        parse_setup(changed(path, value))
+    except ConfigError as told:
         assert "\n" not in str(told)
 
 
@@ -362,5 +362,5 @@
     (tmp_path / "good").write_bytes(orjson.dumps(SAMPLE | {"new": base64.b64encode(b"x").decode()}))
     assert read(str(tmp_path / "good")).stop == 3_200_000
     for path in (None, str(tmp_path / "none"), str(tmp_path / "bad")):
-        with pytest.raises(Unusable, match="BALANCER_CONFIG: expected"):
+        with pytest.raises(ConfigError, match="BALANCER_CONFIG: expected"):
             read(path)
