--- a/limeridge/net/kernel.py
+++ b/limeridge/net/kernel.py
@@ -16,20 +16,25 @@
 import orjson
 from twisted.internet.defer import Deferred, succeed
 from twisted.internet.protocol import ClientFactory, connectionDone
-from twisted.internet.protocol import Protocol as Wire
+from twisted.internet.protocol import Protocol as TwistedProtocol
 from twisted.python.failure import Failure
 
 from limeridge.facade import EndStatus, RunBlocked, RunEnded
 from limeridge.net.log import Log
 
-LINE_MOST = 65_536  # bytes of a line
-RELINK = (0.02, 0.25)  # seconds between tries, the first and the longest: a try that is refused costs little
-CONNECT = 2.0  # seconds that one try may take
-PATIENCE = 1.5  # seconds without a link after which the kernel counts as away: a short break is no ill health
-HAND_OVER = 2.0  # seconds that a link which another replaced gets to end by itself
+MAX_LINE_BYTES = 65_536  # bytes of a line
+RECONNECT_DELAYS_S = (
+    0.02,
+    0.25,
+)  # seconds between tries, the first and the longest: a try that is refused costs little
+CONNECT_TIMEOUT_S = 2.0  # seconds that one try may take
+LINK_LOSS_GRACE_S = (
+    1.5  # seconds without a link after which the kernel counts as away: a short break is no ill health
+)
+OLD_LINK_CLOSE_TIMEOUT_S = 2.0  # seconds that a link which another replaced gets to end by itself
 FENCE = "fence"  # the ticket of the gauges asked for behind a cursor: its answer ends the repeated notices
 
-ENDS = {
+END_STATUSES = {
     "ok": EndStatus.OK,
     "failed": EndStatus.FAILED,
     "halted": EndStatus.STOPPED,
@@ -41,7 +46,7 @@
     """The link can't be trusted any more."""
 
 
-class Lines:
+class LineParser:
     """Lines out of bytes that come split and joined anywhere."""
 
     def __init__(self) -> None:
@@ -54,11 +59,11 @@
             line = bytes(self.data[:end])
             del self.data[: end + 1]
             start = 0
-            if len(line) > LINE_MOST:
+            if len(line) > MAX_LINE_BYTES:
                 raise BadLine
             if line.strip():
                 yield line
-        if len(self.data) > LINE_MOST:
+        if len(self.data) > MAX_LINE_BYTES:
             raise BadLine
 
 
@@ -68,7 +73,7 @@
 @dataclass(slots=True, frozen=True)
 class Booted:
     cold: bool
-    ago: int  # microseconds
+    ago_us: int  # microseconds
 
 
 @dataclass(slots=True, frozen=True)
@@ -77,7 +82,7 @@
 
     cursor: int
     handle: str
-    news: RunEnded | RunBlocked | None
+    event: RunEnded | RunBlocked | None
 
 
 @dataclass(slots=True, frozen=True)
@@ -89,7 +94,7 @@
 @dataclass(slots=True, frozen=True)
 class Posted:
     ticket: str
-    well: bool
+    succeeded: bool
 
 
 @dataclass(slots=True, frozen=True)
@@ -98,10 +103,10 @@
     handle: str
 
 
-Told = Booted | Notice | Gauges | Posted | Invalid
+Message = Booted | Notice | Gauges | Posted | Invalid
 
 
-def decode(line: bytes) -> Told | None:
+def decode(line: bytes) -> Message | None:
     """None for what can't be read or is not known."""
     try:
         value = orjson.loads(line)
@@ -110,7 +115,7 @@
                 return Notice(
                     _cursor(value),
                     str(value["handle"]),
-                    RunEnded(ENDS[value["fate"]], str(value.get("arg") or "")),
+                    RunEnded(END_STATUSES[value["fate"]], str(value.get("arg") or "")),
                 )
             case "IOREQ":
                 body = base64.b64decode(value.get("arg") or "", validate=True)
@@ -155,37 +160,37 @@
 class Service(Protocol):
     """What the link tells whoever wires it up."""
 
-    def booted(self, cold: bool, ago: int) -> None: ...
-    def heard(self, ref: str, news: RunEnded | RunBlocked) -> bool: ...
+    def on_kernel_boot(self, cold: bool, ago_us: int) -> None: ...
+    def on_run_event(self, ref: str, event: RunEnded | RunBlocked) -> bool: ...
 
 
-class Link(Wire):
+class Link(TwistedProtocol):
     transport: Any
 
-    def __init__(self, kernel: Kernel, dial: Dial) -> None:
-        self.kernel, self.dial, self.lines = kernel, dial, Lines()
+    def __init__(self, kernel: Kernel, attempt: ConnectAttempt) -> None:
+        self.kernel, self.attempt, self.lines = kernel, attempt, LineParser()
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
-        self.kernel.linked(self)
+        self.kernel.handle_connected(self)
 
     def dataReceived(self, data: bytes) -> None:
         if self.kernel.link is not self:
             return
         try:
             for line in self.lines.feed(data):
-                self.kernel.guarded(line)
+                self.kernel.handle_line(line)
                 if self.kernel.link is not self:
                     return
-            self.kernel.read_all()
+            self.kernel.handle_read_end()
         except BadLine:
-            self.kernel.distrust(self, "oversize")
+            self.kernel.drop_link(self, "oversize")
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self.kernel.unlinked(self, reason.getErrorMessage())
+        self.kernel.handle_disconnected(self, reason.getErrorMessage())
 
 
-class Dial(ClientFactory):
+class ConnectAttempt(ClientFactory):
     """One try to link. One that another has replaced, as the address is new, must come to nothing."""
 
     noisy = False
@@ -197,7 +202,7 @@
         return Link(self.kernel, self)
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
-        self.kernel.unreached(self, reason.getErrorMessage())
+        self.kernel.handle_connect_failed(self, reason.getErrorMessage())
 
 
 class Kernel:
@@ -205,240 +210,248 @@
         self.service, self.reactor, self.host, self.port, self.log = service, reactor, host, port, log
         self.link: Link | None = None
         self.ready = False  # booted, and the repeated notices are read
-        self.fenced = False  # the same, but for what came in one piece with the last of them
+        self.fence_answered = False  # the same, but for what came in one piece with the last of them
         self.booted = False
         self.cursor = 0
-        self.skipped_to = 0  # a gap up to here was seen twice: the notices in it are gone for good
-        self.delay = RELINK[0]
+        self.retried_gap_end = 0  # a gap up to here was seen twice: the notices in it are gone for good
+        self.delay = RECONNECT_DELAYS_S[0]
         self.stopping = False
-        self.dial: Dial | None = None  # the try that is under way
-        self.redial: Any = None  # the timer of the next one
+        self.attempt: ConnectAttempt | None = None  # the try that is under way
+        self.reconnect_timer: Any = None  # the timer of the next one
         self.lost_at = 0.0  # when the link was last good
-        self.uncarried: dict[str, Command] = {}  # by handle, in the order of their sending
+        self.unconfirmed: dict[str, Command] = {}  # by handle, in the order of their sending
         # of commands: the last given, the last that the kernel is known to have read
-        self.serial, self.known = 0, 0
+        self.serial, self.last_read_serial = 0, 0
         self.resent: set[str] = set()  # handles whose commands of this link may be refused as carried out
         self.tickets = 0
-        self.asked: dict[str, tuple[Deferred[Any], int]] = {}  # by ticket, with the last command before it
+        self.pending_queries: dict[
+            str, tuple[Deferred[Any], int]
+        ] = {}  # by ticket, with the last command before it
 
     @property
-    def present(self) -> bool:
+    def is_available(self) -> bool:
         """Whether the kernel is up, as far as the link can tell: a break that is soon over says nothing."""
-        return self.ready or (self.booted and self.reactor.seconds() - self.lost_at < PATIENCE)
+        return self.ready or (self.booted and self.reactor.seconds() - self.lost_at < LINK_LOSS_GRACE_S)
 
     def connect(self) -> None:
-        self._no_redial()
+        self._cancel_reconnect()
         if not self.stopping:
-            self.dial = Dial(self)
-            self.reactor.connectTCP(self.host, self.port, self.dial, timeout=CONNECT)
+            self.attempt = ConnectAttempt(self)
+            self.reactor.connectTCP(self.host, self.port, self.attempt, timeout=CONNECT_TIMEOUT_S)
 
-    def move(self, host: str, port: int) -> None:
+    def set_address(self, host: str, port: int) -> None:
         """New configuration: the old link serves until the new one stands."""
-        self.host, self.port, self.delay = host, port, RELINK[0]
+        self.host, self.port, self.delay = host, port, RECONNECT_DELAYS_S[0]
         self.connect()
 
-    def _no_redial(self) -> None:
-        if self.redial is not None and self.redial.active():
-            self.redial.cancel()
-        self.redial = None
+    def _cancel_reconnect(self) -> None:
+        if self.reconnect_timer is not None and self.reconnect_timer.active():
+            self.reconnect_timer.cancel()
+        self.reconnect_timer = None
 
     def stop(self) -> None:
         self.stopping = True
-        self._no_redial()
+        self._cancel_reconnect()
         if self.link is not None:
             self.link.transport.loseConnection()
 
     # ---- commands
 
-    def start(self, ref: str, entry: str, doc: str) -> None:
-        self._command(ref, "SCHED", entry=entry, arg=doc)
+    def start(self, ref: str, product_name: str, doc: str) -> None:
+        self._send_command(ref, "SCHED", entry=product_name, arg=doc)
 
     def reply(self, ref: str, body: bytes, cursor: int, may_skip: bool) -> None:
         """The reply to the call that notice `cursor` asked for; `may_skip`: the run could go on without
         it."""
-        self._command(ref, "IODONE", arg=base64.b64encode(body).decode())
-        command = self.uncarried[ref]
+        self._send_command(ref, "IODONE", arg=base64.b64encode(body).decode())
+        command = self.unconfirmed[ref]
         command.replies_to, command.may_skip = cursor, may_skip
 
-    def go_on(self, ref: str, cursor: int) -> None:
-        self._command(ref, "NOIO", cursor=cursor)
+    def skip_call(self, ref: str, cursor: int) -> None:
+        self._send_command(ref, "NOIO", cursor=cursor)
 
-    def gauges(self, time_out: float) -> Deferred[tuple[float, ...] | None]:
+    def read_gauges(self, time_out_s: float) -> Deferred[tuple[float, ...] | None]:
         """None where they do not come in time."""
-        return self._ask("SYSINFO", time_out, None)
+        return self._query("SYSINFO", time_out_s, None)
 
-    def prove(self, time_out: float) -> Deferred[bool]:
+    def run_deep_check(self, time_out_s: float) -> Deferred[bool]:
         """Whether the work of a deep check gets done."""
-        return self._ask("POST", time_out, False)
+        return self._query("POST", time_out_s, False)
 
-    def over(self, ref: str) -> None:
-        self.uncarried.pop(ref, None)
+    def discard(self, ref: str) -> None:
+        self.unconfirmed.pop(ref, None)
         self.resent.discard(ref)
 
-    def _command(self, ref: str, event: str, **fields: object) -> None:
+    def _send_command(self, ref: str, event: str, **fields: object) -> None:
         line = encode(event, handle=ref, **fields)
         self.serial += 1
-        self.uncarried.pop(ref, None)
-        command = self.uncarried[ref] = Command(line, self.serial)
+        self.unconfirmed.pop(ref, None)
+        command = self.unconfirmed[ref] = Command(line, self.serial)
         if self.ready and self.link is not None:
             command.sent = True
             self.link.transport.write(line)
 
-    def _ask(self, event: str, time_out: float, nothing: Any) -> Deferred[Any]:
+    def _query(self, event: str, time_out_s: float, default: Any) -> Deferred[Any]:
         if not self.ready or self.link is None:
-            return succeed(nothing)
+            return succeed(default)
         self.tickets += 1
         ticket = str(self.tickets)
         answer: Deferred[Any] = Deferred()
-        timer = self.reactor.callLater(time_out, self._answer, ticket, nothing)
+        timer = self.reactor.callLater(time_out_s, self._answer_query, ticket, default)
         answer.addBoth(lambda result: (timer.active() and timer.cancel(), result)[1])
-        self.asked[ticket] = answer, self.serial
+        self.pending_queries[ticket] = answer, self.serial
         self.link.transport.write(encode(event, ticket=ticket))
         return answer
 
-    def _answer(self, ticket: str, result: Any) -> None:
-        asked = self.asked.pop(ticket, None)
+    def _answer_query(self, ticket: str, result: Any) -> None:
+        asked = self.pending_queries.pop(ticket, None)
         if asked is not None:
             asked[0].callback(result)
 
-    def _heard_back(self, ticket: str) -> None:
+    def _confirm_read(self, ticket: str) -> None:
         """Commands are read in their order: what was sent before this question has arrived."""
-        if ticket in self.asked:
-            self.known = max(self.known, self.asked[ticket][1])
+        if ticket in self.pending_queries:
+            self.last_read_serial = max(self.last_read_serial, self.pending_queries[ticket][1])
             self.resent.clear()  # refusals of these would have come before
 
     # ---- the link
 
-    def linked(self, link: Link) -> None:
-        if self.dial is not link.dial or self.stopping:
+    def handle_connected(self, link: Link) -> None:
+        if self.attempt is not link.attempt or self.stopping:
             link.transport.abortConnection()
             return
-        self._unready()
-        old, self.link, self.dial = self.link, link, None
+        self._mark_unready()
+        old, self.link, self.attempt = self.link, link, None
         if old is not None:
             # What was written to it last must not be lost with it, and would be if it were closed over
             # notices that are not read yet: those come again on the new one, here they are passed over.
             old.transport.loseWriteConnection()
-            self.reactor.callLater(HAND_OVER, old.transport.abortConnection)
+            self.reactor.callLater(OLD_LINK_CLOSE_TIMEOUT_S, old.transport.abortConnection)
         self.log.event("link-up", cursor=self.cursor)
         link.transport.write(encode("OPEN", cursor=self.cursor))
 
-    def unlinked(self, link: Link, why: str) -> None:
+    def handle_disconnected(self, link: Link, why: str) -> None:
         if self.link is not link:
             return
-        self._unready()
+        self._mark_unready()
         self.link = None
         self.log.event(
             "link-down",
             "stopped" if self.stopping else "lost",
             why=why[:200],
             cursor=self.cursor,
-            uncarried=len(self.uncarried),
+            uncarried=len(self.unconfirmed),
         )
-        self._relink()
+        self._schedule_reconnect()
 
-    def read_all(self) -> None:
+    def handle_read_end(self) -> None:
         """What came in one piece is read. Only now is anything commanded again: what a run has left behind by
         a notice further on in the piece must not be."""
-        if self.fenced:
-            self.fenced = False
-            self._resume()
+        if self.fence_answered:
+            self.fence_answered = False
+            self._resend_commands()
 
-    def _unready(self) -> None:
-        self.fenced = False
+    def _mark_unready(self) -> None:
+        self.fence_answered = False
         if self.ready:
             self.ready, self.lost_at = False, self.reactor.seconds()
 
-    def unreached(self, dial: Dial, why: str) -> None:
-        if self.dial is dial:
-            self.dial = None
+    def handle_connect_failed(self, attempt: ConnectAttempt, why: str) -> None:
+        if self.attempt is attempt:
+            self.attempt = None
             self.log.event("link-down", "unreached", why=why[:200])
-            self._relink()
+            self._schedule_reconnect()
 
-    def _relink(self) -> None:
-        if not self.stopping and self.dial is None and self.redial is None:
-            self.redial = self.reactor.callLater(self.delay, self.connect)
-            self.delay = min(2 * self.delay, RELINK[1])
+    def _schedule_reconnect(self) -> None:
+        if not self.stopping and self.attempt is None and self.reconnect_timer is None:
+            self.reconnect_timer = self.reactor.callLater(self.delay, self.connect)
+            self.delay = min(2 * self.delay, RECONNECT_DELAYS_S[1])
 
-    def distrust(self, link: Link, code: str) -> None:
+    def drop_link(self, link: Link, code: str) -> None:
         """The link is over at once: what else came on it is not read any more."""
         self.log.event("link-fault", code)
         link.transport.abortConnection()
-        self.unlinked(link, code)
+        self.handle_disconnected(link, code)
 
-    def guarded(self, line: bytes) -> None:
+    def handle_line(self, line: bytes) -> None:
         """What goes wrong with one notice must not cost the link, and with it all others."""
         try:
-            self.take(line)
-        except Exception as trouble:
-            self.log.fault("link-fault", trouble)
+            self._process_line(line)
+        except Exception as error:
+            self.log.fault("link-fault", error)
 
-    def take(self, line: bytes) -> None:
-        told = decode(line)
-        match told:
+    def _process_line(self, line: bytes) -> None:
+        message = decode(line)
+        match message:
             case Notice():
-                self._notice(told)
+                self._handle_notice(message)
             case Gauges(ticket, figures):
                 if ticket == FENCE:
-                    self.fenced = True
+                    self.fence_answered = True
                 else:
-                    self._heard_back(ticket)
-                    self._answer(ticket, figures)
-            case Posted(ticket, well):
-                self._heard_back(ticket)
-                self._answer(ticket, well)
-            case Booted(cold, ago):
-                self.delay = RELINK[0]
-                self.log.event("boot", "cold" if cold else "warm", ago_ms=ago / 1_000, again=self.booted)
+                    self._confirm_read(ticket)
+                    self._answer_query(ticket, figures)
+            case Posted(ticket, succeeded):
+                self._confirm_read(ticket)
+                self._answer_query(ticket, succeeded)
+            case Booted(cold, ago_us):
+                self.delay = RECONNECT_DELAYS_S[0]
+                self.log.event("boot", "cold" if cold else "warm", ago_ms=ago_us / 1_000, again=self.booted)
                 if not self.booted:
                     self.booted = True
-                    self.service.booted(cold, ago)
+                    self.service.on_kernel_boot(cold, ago_us)
                 # Notices from before the break come first; what they show is not to be commanded again.
                 if self.link is not None:
                     self.link.transport.write(encode("SYSINFO", ticket=FENCE))
             case Invalid(command, handle):
                 self.log.event("link-fault", "einval", command=command, handle=handle)
-                self._invalid(command, handle)
+                self._handle_refusal(command, handle)
             case None:
                 self.log.event("link-fault", "unreadable", line=line[:200].decode(errors="replace"))
 
-    def _resume(self) -> None:
+    def _resend_commands(self) -> None:
         if self.link is None:
             return
         self.ready = True
         if self.cursor:
-            self.resent |= set(self.uncarried)
-        for ref, command in self.uncarried.items():
-            again, command.sent = command.sent, True
-            if not (again and command.replies_to):
+            self.resent |= set(self.unconfirmed)
+        for ref, command in self.unconfirmed.items():
+            was_sent, command.sent = command.sent, True
+            if not (was_sent and command.replies_to):
                 self.link.transport.write(command.line)
-            elif command.serial > self.known and command.may_skip:
+            elif command.serial > self.last_read_serial and command.may_skip:
                 # A reply names no call: sent again, it may be taken for that of a later one. Whether the
                 # first arrived can't be known, so a run that can go on without is told so, which names its
                 # call. One that can't is left: it has the reply, or waits until its txn's due time ends it.
                 self.link.transport.write(encode("NOIO", handle=ref, cursor=command.replies_to))
 
-    def _notice(self, notice: Notice) -> None:
+    def _handle_notice(self, notice: Notice) -> None:
         if notice.cursor <= self.cursor:
             self.log.event("link-fault", "seen", cursor=notice.cursor)
             return
-        if notice.cursor > self.cursor + 1 and self.skipped_to != notice.cursor and self.link is not None:
+        if (
+            notice.cursor > self.cursor + 1
+            and self.retried_gap_end != notice.cursor
+            and self.link is not None
+        ):
             # One that is missing may be somebody's end: asked for once more before it is given up.
-            self.skipped_to = notice.cursor
-            self.distrust(self.link, "gap")
+            self.retried_gap_end = notice.cursor
+            self.drop_link(self.link, "gap")
             return
         self.cursor = notice.cursor
-        if notice.news is None:
+        if notice.event is None:
             return
-        self.uncarried.pop(notice.handle, None)
-        if not self.service.heard(notice.handle, notice.news):
+        self.unconfirmed.pop(notice.handle, None)
+        if not self.service.on_run_event(notice.handle, notice.event):
             self.log.event("link-fault", "unknown-handle", handle=notice.handle)
 
-    def _invalid(self, command: str, handle: str) -> None:
+    def _handle_refusal(self, command: str, handle: str) -> None:
         """A reply sent again may have been taken before: then it proves nothing about the run. A start can't
         be refused for that: a run that goes on already is no fault. One that is refused the first time never
         began: the kernel knows no such request."""
         if command == "SCHED" or handle not in self.resent:
-            never = command == "SCHED" and handle not in self.resent
-            self.over(handle)
-            self.service.heard(handle, RunEnded(EndStatus.NEVER_BEGAN if never else EndStatus.FAILED))
+            never_began = command == "SCHED" and handle not in self.resent
+            self.discard(handle)
+            self.service.on_run_event(
+                handle, RunEnded(EndStatus.NEVER_BEGAN if never_began else EndStatus.FAILED)
+            )
--- a/limeridge/net/ledger.py
+++ b/limeridge/net/ledger.py
@@ -245,7 +245,7 @@
         self.waiting.appendleft(call)
         self._open()
 
-    def move(self, host: str, port: int) -> None:
+    def set_address(self, host: str, port: int) -> None:
         """New configuration: calls go there from now on; those that are out end where they are."""
         self.host, self.port = host, port
 
--- a/limeridge/net/nodelist.py
+++ b/limeridge/net/nodelist.py
@@ -19,7 +19,7 @@
     def __init__(self, name: str, host: str, port: int) -> None:
         self.name, self.host, self.port = name, host, port
 
-    def move(self, host: str, port: int) -> None:
+    def set_address(self, host: str, port: int) -> None:
         """New configuration: reports go there from now on."""
         self.host, self.port = host, port
 
--- a/limeridge/net/service.py
+++ b/limeridge/net/service.py
@@ -276,7 +276,7 @@
             if job.call is not None:
                 job.call.abandon()
             self.jobs.pop(request.ref, None)
-            self.kernel.over(request.ref)
+            self.kernel.discard(request.ref)
             self.callers.released(request)
 
     async def next_step(self, job: Job, step: Step | None) -> Step:
@@ -301,7 +301,7 @@
             job.call = self.ledger.call(request.ref, step.time_out_us, job.blocked.body)
             job.call.done.addCallback(lambda called: self.tell(job, called))
         elif step.action is NextAction.SKIP_CALL and job.blocked is not None:
-            self.kernel.go_on(request.ref, job.blocked.cursor)
+            self.kernel.skip_call(request.ref, job.blocked.cursor)
 
     def tell(self, job: Job, news: RunEvent) -> None:
         if not job.tell(news):
@@ -312,10 +312,10 @@
 
     # ---- what the kernel tells
 
-    def booted(self, cold: bool, ago: int) -> None:
+    def on_kernel_boot(self, cold: bool, ago: int) -> None:
         self.facade.handle_kernel_boot(cold, ago)
 
-    def heard(self, ref: str, news: RunEnded | RunBlocked) -> bool:
+    def on_run_event(self, ref: str, news: RunEnded | RunBlocked) -> bool:
         job = self.jobs.get(ref)
         if isinstance(news, RunEnded) and news.end is EndStatus.OK:
             self.work_seen = True
@@ -334,12 +334,12 @@
     def check(self, deep: bool, answer: Callable[[bool], None]) -> None:
         """From store, as the brain wants it. Whether work gets done is asked of the kernel only where no
         run has ended well since the last such question."""
-        ready = self.facade.healthy and self.kernel.present and not self.leaving
+        ready = self.facade.healthy and self.kernel.is_available and not self.leaving
         if not deep or not ready or self.work_seen or not self.kernel.ready:
             self.work_seen = self.work_seen and not deep
             answer(ready)
         else:
-            self.kernel.prove(CHECK_WAIT).addCallback(answer)
+            self.kernel.run_deep_check(CHECK_WAIT).addCallback(answer)
 
     # ---- time
 
@@ -355,14 +355,14 @@
 
     def wake(self) -> None:
         self.take_share()
-        self.kernel.gauges(GAUGE_WAIT).addCallback(
+        self.kernel.read_gauges(GAUGE_WAIT).addCallback(
             lambda figures: self.facade.tick(self.facade.now(), figures)
         ).addErrback(self.met, "tick-fault")
 
     def report(self) -> None:
         if self.node_list.transport is None:
             self.open_reports()
-        if self.kernel.present and not self.leaving:  # without its kernel it can start nothing
+        if self.kernel.is_available and not self.leaving:  # without its kernel it can start nothing
             self.node_list.report(self.facade.healthy)
 
     # ---- new configuration
@@ -412,7 +412,7 @@
         parts: dict[str, Any] = {"kernel": self.kernel, "ledger": self.ledger, "node_list": self.node_list}
         for name in revision.moved:
             part, address = parts[name], getattr(setup, name)
-            self.guarded(partial(part.move, address.host, address.port))
+            self.guarded(partial(part.set_address, address.host, address.port))
         self.guarded(self.report)
 
     # ---- drain
--- a/limeridge/scale/load.py
+++ b/limeridge/scale/load.py
@@ -29,7 +29,7 @@
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
 from limeridge.net.callers import Frames, frame
-from limeridge.net.kernel import Lines
+from limeridge.net.kernel import LineParser
 
 CONNECT_TIMEOUT = 5.0  # seconds
 BEGIN_AFTER = 0.1  # seconds between the opening of the connections and the first send time
@@ -214,7 +214,7 @@
     """The same requests in the kernel's protocol, as `limeridge/net/kernel.py` describes it."""
 
     def __init__(self, window: int) -> None:
-        self.window, self.lines = window, Lines()
+        self.window, self.lines = window, LineParser()
 
     def greeting(self) -> bytes:
         return self._line(event="OPEN", cursor=NO_OLD_NOTICES)
--- a/limeridge/trial/soak_defects.py
+++ b/limeridge/trial/soak_defects.py
@@ -51,7 +51,7 @@
         SERVICE,
         "        self.facade.revise(setup.plain, setup.tenants.quota)\n",
         "        self.facade.revise(setup.plain, setup.tenants.quota)\n"
-        "        self.kernel.uncarried.clear()\n"
+        "        self.kernel.unconfirmed.clear()\n"
         "        self.kernel.link.transport.abortConnection()\n",
         "a reload drops the open link, with what was commanded on it",
     ),
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -25,7 +25,7 @@
 
 from limeridge.facade import EndStatus
 from limeridge.net.callers import CLOSE_AFTER, DISCARDED_MOST, PARTING, close_listener
-from limeridge.net.kernel import Dial
+from limeridge.net.kernel import ConnectAttempt
 from limeridge.net.service import LAST_CALL, LISTEN_EVERY, LISTEN_TRIES, PART
 
 ROOT = Path(__file__).parent.parent
@@ -379,11 +379,12 @@
         s.until("the call", lambda: b"\r\n\r\n" in call.pump().data)
         call.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nreply")
         s.until(
-            "the reply to be commanded", lambda: ref in kernel.uncarried and kernel.uncarried[ref].replies_to
+            "the reply to be commanded",
+            lambda: ref in kernel.unconfirmed and kernel.unconfirmed[ref].replies_to,
         )
         old.note(event="DMESG", fate="on its way")  # unread as the new link stands
-        kernel.dial = Dial(kernel)
-        kernel.dial.buildProtocol(None).makeConnection(Wire())
+        kernel.attempt = ConnectAttempt(kernel)
+        kernel.attempt.buildProtocol(None).makeConnection(Wire())
         s.until("the end of the old stream", lambda: old.pump().end)
         assert old.end == "end" and [c["handle"] for c in old.commands("IODONE")] == [ref]
 
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -93,18 +93,18 @@
     lengths=cuts,
 )
 def test_lines_come_out_whole_however_they_are_split(lines: list[bytes], lengths: list[int]) -> None:
-    parser, out = kernel.Lines(), []
+    parser, out = kernel.LineParser(), []
     for part in pieces(b"".join(line + b"\n" for line in lines), lengths):
         out += list(parser.feed(part))
     assert out == lines and not parser.data
 
 
 def test_a_line_without_an_end_does_not_fill_memory() -> None:
-    parser = kernel.Lines()
+    parser = kernel.LineParser()
     with pytest.raises(kernel.BadLine):
         for _ in range(100):
             list(parser.feed(b"x" * 1_000))
-    assert len(parser.data) <= kernel.LINE_MOST + 1_000
+    assert len(parser.data) <= kernel.MAX_LINE_BYTES + 1_000
 
 
 @often
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -683,17 +683,17 @@
 def test_a_failing_seed_tells_its_story_and_shrinks(monkeypatch: pytest.MonkeyPatch) -> None:
     from limeridge.net.kernel import Kernel
 
-    take = Kernel._notice
+    take = Kernel._handle_notice
     counts = {"taken": 0}
 
     def dropping(self: Any, notice: Any) -> None:
         counts["taken"] += 1
-        if notice.news is not None and notice.cursor % 9 == 8:
+        if notice.event is not None and notice.cursor % 9 == 8:
             self.cursor = notice.cursor
             return
         take(self, notice)
 
-    monkeypatch.setattr(Kernel, "_notice", dropping)
+    monkeypatch.setattr(Kernel, "_handle_notice", dropping)
     plan = draw(replace(named("any"), instances=(2, 2), txns=(60, 60), faults=(2, 4)), 4)
     outcome = run_plan(plan)
     assert outcome.rule and outcome.who and outcome.recent
