--- a/limeridge/net/kernel.py
+++ b/limeridge/net/kernel.py
@@ -1,9 +1,8 @@
-"""The link to the kernel, which owns the cores: JSON lines, a cursor over its notices, relinking.
+"""The connection to the kernel, which owns the cores: JSON lines, a cursor over its notices, reconnection.
 
-It owns the parser of lines, the one decoding of each notice, and what was commanded and is not known to be
-carried out, so that a new link can take up where the last one broke. It must never judge what a notice means
-for a txn: it hands typed news on and sends what it is told to.
-"""
+It owns the line parser, the decoding of notices into typed events, and the commands that are not known to
+have been carried out, so that a new link can resume where the last one broke. It must never judge what a
+notice means for a txn: it passes typed events on and sends the commands that it is given."""
 
 from __future__ import annotations
 
@@ -22,17 +21,12 @@
 from limeridge.facade import EndStatus, RunBlocked, RunEnded
 from limeridge.net.log import Log
 
-MAX_LINE_BYTES = 65_536  # bytes of a line
-RECONNECT_DELAYS_S = (
-    0.02,
-    0.25,
-)  # seconds between tries, the first and the longest: a try that is refused costs little
-CONNECT_TIMEOUT_S = 2.0  # seconds that one try may take
-LINK_LOSS_GRACE_S = (
-    1.5  # seconds without a link after which the kernel counts as away: a short break is no ill health
-)
-OLD_LINK_CLOSE_TIMEOUT_S = 2.0  # seconds that a link which another replaced gets to end by itself
-FENCE = "fence"  # the ticket of the gauges asked for behind a cursor: its answer ends the repeated notices
+MAX_LINE_BYTES = 65_536
+RECONNECT_DELAYS_S = (0.02, 0.25)  # first and maximum; both short, since a refused attempt costs little
+CONNECT_TIMEOUT_S = 2.0
+LINK_LOSS_GRACE_S = 1.5  # without a link for longer, the kernel is unavailable; a short break is no failure
+OLD_LINK_CLOSE_TIMEOUT_S = 2.0  # after a new link has replaced it
+FENCE = "fence"  # ticket of the SYSINFO query sent after OPEN: its answer follows the last repeated notice
 
 END_STATUSES = {
     "ok": EndStatus.OK,
@@ -43,11 +37,11 @@
 
 
 class BadLine(Exception):
-    """The link can't be trusted any more."""
+    """A line is too long: the link can't be used any more."""
 
 
 class LineParser:
-    """Lines out of bytes that come split and joined anywhere."""
+    """Splits a byte stream, which arrives in arbitrary chunks, into lines."""
 
     def __init__(self) -> None:
         self.data = bytearray()
@@ -73,12 +67,12 @@
 @dataclass(slots=True, frozen=True)
 class Booted:
     cold: bool
-    ago_us: int  # microseconds
+    ago_us: int
 
 
 @dataclass(slots=True, frozen=True)
 class Notice:
-    """A numbered notice of one txn's run; without news for a mere remark."""
+    """A numbered notice about one txn's run; without an event if it is only a log message (DMESG)."""
 
     cursor: int
     handle: str
@@ -107,7 +101,7 @@
 
 
 def decode(line: bytes) -> Message | None:
-    """None for what can't be read or is not known."""
+    """Decodes a line; None if it is malformed or of an unknown kind."""
     try:
         value = orjson.loads(line)
         match value["event"]:
@@ -148,17 +142,17 @@
 
 @dataclass(slots=True, eq=False)
 class Command:
-    """What was last commanded for a run, until a notice shows that it was carried out."""
+    """The last command for a run, kept until a notice shows that it was carried out."""
 
     line: bytes
     serial: int
-    sent: bool = False  # on some link
-    replies_to: int = 0  # for a reply, the notice that asked for the call
-    may_skip: bool = False  # whether that call may be left out
+    sent: bool = False  # on any link so far
+    replies_to: int = 0  # for a reply, the cursor of the notice that requested the call
+    may_skip: bool = False  # whether the run can continue without that call
 
 
 class Service(Protocol):
-    """What the link tells whoever wires it up."""
+    """Receives the events of the link."""
 
     def on_kernel_boot(self, cold: bool, ago_us: int) -> None: ...
     def on_run_event(self, ref: str, event: RunEnded | RunBlocked) -> bool: ...
@@ -191,7 +185,7 @@
 
 
 class ConnectAttempt(ClientFactory):
-    """One try to link. One that another has replaced, as the address is new, must come to nothing."""
+    """One connection attempt. Its link is dropped if a later attempt, to a new address, has replaced it."""
 
     noisy = False
 
@@ -209,28 +203,27 @@
     def __init__(self, service: Service, reactor: Any, host: str, port: int, log: Log) -> None:
         self.service, self.reactor, self.host, self.port, self.log = service, reactor, host, port, log
         self.link: Link | None = None
-        self.ready = False  # booted, and the repeated notices are read
-        self.fence_answered = False  # the same, but for what came in one piece with the last of them
+        self.ready = False  # the kernel has booted and its repeated notices have been read
+        self.fence_answered = False  # likewise, but the rest of the current chunk has not been read
         self.booted = False
         self.cursor = 0
-        self.retried_gap_end = 0  # a gap up to here was seen twice: the notices in it are gone for good
+        self.retried_gap_end = 0  # cursor after a gap for which the link was reopened
         self.delay = RECONNECT_DELAYS_S[0]
         self.stopping = False
-        self.attempt: ConnectAttempt | None = None  # the try that is under way
-        self.reconnect_timer: Any = None  # the timer of the next one
-        self.lost_at = 0.0  # when the link was last good
-        self.unconfirmed: dict[str, Command] = {}  # by handle, in the order of their sending
-        # of commands: the last given, the last that the kernel is known to have read
+        self.attempt: ConnectAttempt | None = None  # attempt in progress
+        self.reconnect_timer: Any = None
+        self.lost_at = 0.0  # when the link was last ready
+        self.unconfirmed: dict[str, Command] = {}  # by handle, in the order in which they were sent
+        # Serial numbers of commands: the last one issued, the last one the kernel is known to have read.
         self.serial, self.last_read_serial = 0, 0
-        self.resent: set[str] = set()  # handles whose commands of this link may be refused as carried out
+        self.resent: set[str] = set()  # handles whose commands may be refused as already carried out
         self.tickets = 0
-        self.pending_queries: dict[
-            str, tuple[Deferred[Any], int]
-        ] = {}  # by ticket, with the last command before it
+        # By ticket, with the serial of the last command before the query.
+        self.pending_queries: dict[str, tuple[Deferred[Any], int]] = {}
 
     @property
     def is_available(self) -> bool:
-        """Whether the kernel is up, as far as the link can tell: a break that is soon over says nothing."""
+        """Whether the kernel is up, as far as the link shows; a short break of the link does not count."""
         return self.ready or (self.booted and self.reactor.seconds() - self.lost_at < LINK_LOSS_GRACE_S)
 
     def connect(self) -> None:
@@ -240,7 +233,7 @@
             self.reactor.connectTCP(self.host, self.port, self.attempt, timeout=CONNECT_TIMEOUT_S)
 
     def set_address(self, host: str, port: int) -> None:
-        """New configuration: the old link serves until the new one stands."""
+        """Connects to a new address; the old link is used until the new one is connected."""
         self.host, self.port, self.delay = host, port, RECONNECT_DELAYS_S[0]
         self.connect()
 
@@ -261,8 +254,8 @@
         self._send_command(ref, "SCHED", entry=product_name, arg=doc)
 
     def reply(self, ref: str, body: bytes, cursor: int, may_skip: bool) -> None:
-        """The reply to the call that notice `cursor` asked for; `may_skip`: the run could go on without
-        it."""
+        """Sends the reply to the call that notice `cursor` requested; `may_skip` tells whether the run can
+        continue without it."""
         self._send_command(ref, "IODONE", arg=base64.b64encode(body).decode())
         command = self.unconfirmed[ref]
         command.replies_to, command.may_skip = cursor, may_skip
@@ -271,11 +264,11 @@
         self._send_command(ref, "NOIO", cursor=cursor)
 
     def read_gauges(self, time_out_s: float) -> Deferred[tuple[float, ...] | None]:
-        """None where they do not come in time."""
+        """Queries the gauges; None if they do not arrive in time."""
         return self._query("SYSINFO", time_out_s, None)
 
     def run_deep_check(self, time_out_s: float) -> Deferred[bool]:
-        """Whether the work of a deep check gets done."""
+        """Whether the kernel carries out a test run within the time-out."""
         return self._query("POST", time_out_s, False)
 
     def discard(self, ref: str) -> None:
@@ -304,15 +297,15 @@
         return answer
 
     def _answer_query(self, ticket: str, result: Any) -> None:
-        asked = self.pending_queries.pop(ticket, None)
-        if asked is not None:
-            asked[0].callback(result)
+        pending = self.pending_queries.pop(ticket, None)
+        if pending is not None:
+            pending[0].callback(result)
 
     def _confirm_read(self, ticket: str) -> None:
-        """Commands are read in their order: what was sent before this question has arrived."""
+        """Notes that the kernel has read all commands sent before this query: it reads them in order."""
         if ticket in self.pending_queries:
             self.last_read_serial = max(self.last_read_serial, self.pending_queries[ticket][1])
-            self.resent.clear()  # refusals of these would have come before
+            self.resent.clear()  # refusals of these would have arrived before the answer
 
     # ---- the link
 
@@ -323,8 +316,8 @@
         self._mark_unready()
         old, self.link, self.attempt = self.link, link, None
         if old is not None:
-            # What was written to it last must not be lost with it, and would be if it were closed over
-            # notices that are not read yet: those come again on the new one, here they are passed over.
+            # Only our side is closed: closing the socket with unread notices would reset the connection and
+            # lose what was written last. Those notices are ignored here and repeated on the new link.
             old.transport.loseWriteConnection()
             self.reactor.callLater(OLD_LINK_CLOSE_TIMEOUT_S, old.transport.abortConnection)
         self.log.event("link-up", cursor=self.cursor)
@@ -345,8 +338,8 @@
         self._schedule_reconnect()
 
     def handle_read_end(self) -> None:
-        """What came in one piece is read. Only now is anything commanded again: what a run has left behind by
-        a notice further on in the piece must not be."""
+        """All lines of a received chunk have been processed. Commands are resent only now, since a notice
+        later in the same chunk may show that a run has moved past its command."""
         if self.fence_answered:
             self.fence_answered = False
             self._resend_commands()
@@ -368,13 +361,13 @@
             self.delay = min(2 * self.delay, RECONNECT_DELAYS_S[1])
 
     def drop_link(self, link: Link, code: str) -> None:
-        """The link is over at once: what else came on it is not read any more."""
+        """Aborts the link; whatever else arrived on it is not read."""
         self.log.event("link-fault", code)
         link.transport.abortConnection()
         self.handle_disconnected(link, code)
 
     def handle_line(self, line: bytes) -> None:
-        """What goes wrong with one notice must not cost the link, and with it all others."""
+        """Processes a line and logs exceptions: a defect met by one notice must not end the link for all."""
         try:
             self._process_line(line)
         except Exception as error:
@@ -400,7 +393,7 @@
                 if not self.booted:
                     self.booted = True
                     self.service.on_kernel_boot(cold, ago_us)
-                # Notices from before the break come first; what they show is not to be commanded again.
+                # Notices from before the break come first; commands that they confirm must not be resent.
                 if self.link is not None:
                     self.link.transport.write(encode("SYSINFO", ticket=FENCE))
             case Invalid(command, handle):
@@ -420,9 +413,10 @@
             if not (was_sent and command.replies_to):
                 self.link.transport.write(command.line)
             elif command.serial > self.last_read_serial and command.may_skip:
-                # A reply names no call: sent again, it may be taken for that of a later one. Whether the
-                # first arrived can't be known, so a run that can go on without is told so, which names its
-                # call. One that can't is left: it has the reply, or waits until its txn's due time ends it.
+                # A reply does not name its call, so a resent one may be taken as the reply to a later call.
+                # Whether the first one arrived is unknown. A run that can continue without the call gets
+                # NOIO, which names the call. One that can't is left alone: it has the reply, or waits until
+                # its txn's due time ends it.
                 self.link.transport.write(encode("NOIO", handle=ref, cursor=command.replies_to))
 
     def _handle_notice(self, notice: Notice) -> None:
@@ -434,7 +428,7 @@
             and self.retried_gap_end != notice.cursor
             and self.link is not None
         ):
-            # One that is missing may be somebody's end: asked for once more before it is given up.
+            # A missing notice may be the end of a run: it is requested once more before it is given up.
             self.retried_gap_end = notice.cursor
             self.drop_link(self.link, "gap")
             return
@@ -446,9 +440,9 @@
             self.log.event("link-fault", "unknown-handle", handle=notice.handle)
 
     def _handle_refusal(self, command: str, handle: str) -> None:
-        """A reply sent again may have been taken before: then it proves nothing about the run. A start can't
-        be refused for that: a run that goes on already is no fault. One that is refused the first time never
-        began: the kernel knows no such request."""
+        """Handles EINVAL. A refused reply that was resent may have been accepted the first time, so its
+        refusal proves nothing about the run. A start is never refused because the run already exists; one
+        that is refused the first time it is sent never began, as the kernel does not know such a request."""
         if command == "SCHED" or handle not in self.resent:
             never_began = command == "SCHED" and handle not in self.resent
             self.discard(handle)
