--- a/limeridge/net/ledger.py
+++ b/limeridge/net/ledger.py
@@ -15,23 +15,29 @@
 
 from twisted.internet.defer import Deferred
 from twisted.internet.protocol import ClientFactory, connectionDone
-from twisted.internet.protocol import Protocol as Wire
+from twisted.internet.protocol import Protocol as TwistedProtocol
 from twisted.python.failure import Failure
 
 from limeridge.facade import CallEnded, EndStatus
 from limeridge.net.log import Log
 
-HEAD_MOST = 8_192  # bytes of a reply's head
-BODY_MOST = 65_536  # bytes of a reply's body
-ENDED_THERE = ("done", "unreached", "share-lapsed")  # codes of ends that leave nothing in the ledger's hands
-EARLY_MOST = 8  # replies that only announce the one to come (1xx): without end they would keep the loop busy
+MAX_HEAD_BYTES = 8_192  # bytes of a reply's head
+MAX_BODY_BYTES = 65_536  # bytes of a reply's body
+SETTLED_END_CODES = (
+    "done",
+    "unreached",
+    "share-lapsed",
+)  # codes of ends that leave nothing in the ledger's hands
+MAX_INFORMATIONAL_REPLIES = (
+    8  # replies that only announce the one to come (1xx): without end they would keep the loop busy
+)
 
 
 class Gate(Protocol):
     """Who bounds the calls of a whole fleet has a last word on each."""
 
     def begin(self) -> bool: ...
-    def still(self) -> bool: ...
+    def still_allowed(self) -> bool: ...
     def end(self, left_behind: bool) -> None: ...
 
 
@@ -39,43 +45,43 @@
     """The reply proves nothing and the connection is of no use any more."""
 
 
-class Reply:
+class ReplyParser:
     """One HTTP/1.1 reply out of bytes that come split anywhere. What stands behind it is nobody's."""
 
     def __init__(self) -> None:
         self.data = bytearray()
         self.status = 0  # once its head is read
-        self.need = 0
+        self.body_length = 0
         self.not_begun = False
-        self.early = 0
+        self.informational_replies = 0
 
     def feed(self, data: bytes) -> tuple[int, bool, bytes] | None:
         """Status, whether the call is proved not to have begun, and body, once all of it is there."""
         self.data += data
         while not self.status:
-            end = self.data.find(b"\r\n\r\n", 0, HEAD_MOST)
+            end = self.data.find(b"\r\n\r\n", 0, MAX_HEAD_BYTES)
             if end < 0:
-                if len(self.data) >= HEAD_MOST or not b"HTTP/1.".startswith(self.data[:7]):
+                if len(self.data) >= MAX_HEAD_BYTES or not b"HTTP/1.".startswith(self.data[:7]):
                     raise BadReply
                 return None
-            self._head(bytes(self.data[:end]))
+            self._parse_head(bytes(self.data[:end]))
             del self.data[: end + 4]
             if self.status < 200:
-                self.status, self.early = 0, self.early + 1
-                if self.early > EARLY_MOST:
+                self.status, self.informational_replies = 0, self.informational_replies + 1
+                if self.informational_replies > MAX_INFORMATIONAL_REPLIES:
                     raise BadReply
-        if len(self.data) < self.need:
+        if len(self.data) < self.body_length:
             return None
-        return self.status, self.not_begun, bytes(self.data[: self.need])
+        return self.status, self.not_begun, bytes(self.data[: self.body_length])
 
-    def _head(self, head: bytes) -> None:
-        line, *lines = head.split(b"\r\n")
-        version, _, rest = line.partition(b" ")
+    def _parse_head(self, head: bytes) -> None:
+        status_line, *field_lines = head.split(b"\r\n")
+        version, _, rest = status_line.partition(b" ")
         if not version.startswith(b"HTTP/1.") or not rest[:3].isdigit() or rest[3:4] not in (b"", b" "):
             raise BadReply
         length = -1
         self.not_begun = False
-        for field in lines:
+        for field in field_lines:
             name, colon, value = field.partition(b":")
             name, value = name.lower(), value.strip()
             if not colon:
@@ -89,12 +95,12 @@
             elif name == b"op-not-begun":
                 self.not_begun = value == b"1"
         status = int(rest[:3])
-        if status < 100 or length > BODY_MOST or (length < 0 and status >= 200):
+        if status < 100 or length > MAX_BODY_BYTES or (length < 0 and status >= 200):
             raise BadReply
-        self.status, self.need = status, max(0, length)
+        self.status, self.body_length = status, max(0, length)
 
 
-def proved(status: int, not_begun: bool) -> EndStatus:
+def call_end_status(status: int, not_begun: bool) -> EndStatus:
     if status in (409, 503):
         return (
             EndStatus.FAILED if not not_begun else EndStatus.FULL if status == 503 else EndStatus.NEVER_BEGAN
@@ -102,10 +108,10 @@
     return {200: EndStatus.OK, 504: EndStatus.TIMED_OUT}.get(status, EndStatus.FAILED)
 
 
-def encode(host: str, ref: str, wait: int, body: bytes) -> bytes:
+def encode_request(host: str, ref: str, time_out_us: int, body: bytes) -> bytes:
     head = (
         f"POST /records/op HTTP/1.1\r\nHost: {host}\r\nOp-Of: {ref}\r\n"
-        f"Op-Wait-Ms: {-(-wait // 1_000)}\r\nContent-Length: {len(body)}\r\n\r\n"
+        f"Op-Wait-Ms: {-(-time_out_us // 1_000)}\r\nContent-Length: {len(body)}\r\n\r\n"
     )
     return head.encode() + body
 
@@ -113,13 +119,13 @@
 class Call:
     """One call from its asking to its end; `done` fires once with how it went."""
 
-    def __init__(self, ledger: Ledger, ref: str, wait: int, body: bytes) -> None:
-        self.ledger, self.ref, self.wait, self.body = ledger, ref, wait, body
-        self.begun = ledger.reactor.seconds()
+    def __init__(self, ledger: Ledger, ref: str, time_out_us: int, body: bytes) -> None:
+        self.ledger, self.ref, self.time_out_us, self.body = ledger, ref, time_out_us, body
+        self.started_at = ledger.reactor.seconds()
         self.done: Deferred[CallEnded] = Deferred()
         self.over = False
-        self.way: Way | None = None
-        self.timer = ledger.reactor.callLater(wait / 1_000_000, self.time_out)
+        self.connection: CallConnection | None = None
+        self.timer = ledger.reactor.callLater(time_out_us / 1_000_000, self.time_out)
 
     def _finish(self) -> bool:
         """True for the first that ends it."""
@@ -130,58 +136,60 @@
 
     def end(self, end: EndStatus, body: bytes = b"") -> None:
         if self._finish():
-            self.done.callback(CallEnded(end, int((self.ledger.reactor.seconds() - self.begun) * 1e6), body))
+            self.done.callback(
+                CallEnded(end, int((self.ledger.reactor.seconds() - self.started_at) * 1e6), body)
+            )
 
     def time_out(self) -> None:
         # Never sent: the wait for a connection took all its time, and it proves that nothing ran.
-        sent = self.way is not None and self.way.line is not None
-        self._drop()
+        sent = self.connection is not None and self.connection.call_protocol is not None
+        self._close_connection()
         self.end(EndStatus.TIMED_OUT if sent else EndStatus.UNREACHED)
 
-    def _drop(self) -> None:
+    def _close_connection(self) -> None:
         """Gives the call up: closing its connection tells the ledger."""
-        if self.way is not None:
-            self.way.close("given-up")
+        if self.connection is not None:
+            self.connection.close("given-up")
 
     def abandon(self) -> None:
         """Its run is over: nobody waits for how it went."""
         if self._finish():
-            self._drop()
+            self._close_connection()
 
 
-class Line(Wire):
+class CallProtocol(TwistedProtocol):
     """The connection of one call."""
 
     transport: Any
 
-    def __init__(self, way: Way) -> None:
-        self.way, self.reply = way, Reply()
+    def __init__(self, connection: CallConnection) -> None:
+        self.connection, self.reply = connection, ReplyParser()
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
-        self.way.stands(self)
+        self.connection.handle_connected(self)
 
     def dataReceived(self, data: bytes) -> None:
-        way = self.way
-        if way.code:
+        connection = self.connection
+        if connection.code:
             return
         try:
             reply = self.reply.feed(data)
         except BadReply:
-            way.close("bad-reply")
-            way.call.end(EndStatus.BROKEN)
+            connection.close("bad-reply")
+            connection.call.end(EndStatus.BROKEN)
             return
         if reply is not None:
             status, not_begun, body = reply
-            way.close("done")
-            way.call.end(proved(status, not_begun), body)
+            connection.close("done")
+            connection.call.end(call_end_status(status, not_begun), body)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self.way.ended("broke-in-call")
-        self.way.call.end(EndStatus.BROKEN)  # passed over where the call is over already
+        self.connection.handle_closed("broke-in-call")
+        self.connection.call.end(EndStatus.BROKEN)  # ignored if the call has already ended
 
 
-class Way(ClientFactory):
+class CallConnection(ClientFactory):
     """A call's way to the ledger, from the opening of its connection to the end of that."""
 
     noisy = False
@@ -189,59 +197,69 @@
     def __init__(self, ledger: Ledger, call: Call) -> None:
         self.ledger, self.call = ledger, call
         self.address = ledger.host, ledger.port
-        self.line: Line | None = None
+        self.call_protocol: CallProtocol | None = None
         self.code = ""
         self.connector: Any = None
 
-    def buildProtocol(self, addr: object) -> Line:
-        return Line(self)
+    def buildProtocol(self, addr: object) -> CallProtocol:
+        return CallProtocol(self)
 
-    def stands(self, line: Line) -> None:
-        self.line = line
+    def handle_connected(self, protocol: CallProtocol) -> None:
+        self.call_protocol = protocol
         if self.code:
-            line.transport.abortConnection()
+            protocol.transport.abortConnection()
             return
         call, gate = self.call, self.ledger.gate
-        if gate is not None and not gate.still():  # the share may have lapsed while it was being opened
+        if (
+            gate is not None and not gate.still_allowed()
+        ):  # the share may have lapsed while it was being opened
             self.close("share-lapsed")
             call.end(EndStatus.UNREACHED)
             return
-        line.transport.write(encode(self.ledger.host, call.ref, call.wait, call.body))
+        protocol.transport.write(encode_request(self.ledger.host, call.ref, call.time_out_us, call.body))
 
     def close(self, code: str) -> None:
         if not self.code:
             self.code = code
-            if self.line is not None:  # cut, not closed in good order: that would keep its port for a minute
-                self.line.transport.abortConnection()
+            if (
+                self.call_protocol is not None
+            ):  # cut, not closed in good order: that would keep its port for a minute
+                self.call_protocol.transport.abortConnection()
             elif self.connector is not None:
                 self.connector.disconnect()
 
-    def ended(self, code: str) -> None:
-        self.ledger.ended(self, self.code or code)
+    def handle_closed(self, code: str) -> None:
+        self.ledger.handle_closed(self, self.code or code)
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
-        self.ended("unreached")
+        self.handle_closed("unreached")
         if not self.code and self.address != (self.ledger.host, self.ledger.port):
-            self.ledger.again(self.call)  # nothing was sent, and the ledger is elsewhere now
+            self.ledger.requeue(self.call)  # nothing was sent, and the ledger is elsewhere now
         elif not self.code:
             self.ledger.log.event("ledger", "unreached", why=reason.getErrorMessage()[:200])
             self.call.end(EndStatus.UNREACHED)
 
 
 class Ledger:
-    def __init__(self, reactor: Any, host: str, port: int, log: Log, most: int) -> None:
-        self.reactor, self.host, self.port, self.log, self.most = reactor, host, port, log, most
+    def __init__(self, reactor: Any, host: str, port: int, log: Log, max_connections: int) -> None:
+        self.reactor, self.host, self.port, self.log, self.max_connections = (
+            reactor,
+            host,
+            port,
+            log,
+            max_connections,
+        )
         self.gate: Gate | None = None
         self.waiting: deque[Call] = deque()
         self.connections = 0  # being opened ones included
 
-    def call(self, ref: str, wait: int, body: bytes) -> Call:
-        call = Call(self, ref, wait, body)
+    def call(self, ref: str, time_out_us: int, body: bytes) -> Call:
+        call = Call(self, ref, time_out_us, body)
         self.waiting.append(call)
         self._open()
         return call
 
-    def again(self, call: Call) -> None:
+    def requeue(self, call: Call) -> None:
         self.waiting.appendleft(call)
         self._open()
 
@@ -250,7 +268,7 @@
         self.host, self.port = host, port
 
     def _open(self) -> None:
-        while self.waiting and self.connections < self.most:
+        while self.waiting and self.connections < self.max_connections:
             call = self.waiting.popleft()
             if call.over:
                 continue
@@ -258,14 +276,16 @@
                 call.end(EndStatus.FULL)
                 continue
             self.connections += 1
-            call.way = Way(self, call)
+            call.connection = CallConnection(self, call)
             # Without a time-out of its own: the call has one, and a timer more would cost each call.
-            call.way.connector = self.reactor.connectTCP(self.host, self.port, call.way, timeout=None)
+            call.connection.connector = self.reactor.connectTCP(
+                self.host, self.port, call.connection, timeout=None
+            )
 
-    def ended(self, way: Way, code: str) -> None:
+    def handle_closed(self, connection: CallConnection, code: str) -> None:
         self.connections -= 1
         if self.gate is not None:
-            self.gate.end(left_behind=code not in ENDED_THERE)
-        if way.line is not None:
+            self.gate.end(left_behind=code not in SETTLED_END_CODES)
+        if connection.call_protocol is not None:
             self.log.event("ledger-end", code)
         self._open()
--- a/limeridge/peers/gate.py
+++ b/limeridge/peers/gate.py
@@ -47,7 +47,7 @@
         self.out += 1
         return True
 
-    def still(self) -> bool:
+    def still_allowed(self) -> bool:
         """Once the connection stands, right before the call is written: opening it took time."""
         share = self.share()
         if share is not None and self.in_hand() > share:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -110,11 +110,11 @@
 def test_calls_beyond_the_bound_wait_and_an_old_address_is_not_insisted_on() -> None:
     net = booted()
     ledger = net.instance.ledger
-    calls = [ledger.call(f"{n:016x}", 500_000, b"") for n in range(ledger.most + 2)]
+    calls = [ledger.call(f"{n:016x}", 500_000, b"") for n in range(ledger.max_connections + 2)]
     told: list[EndStatus] = []
     for call in calls:
         call.done.addCallback(lambda called: told.append(called.end))
-    assert len(net.reactor.tcpClients) == ledger.connections == ledger.most
+    assert len(net.reactor.tcpClients) == ledger.connections == ledger.max_connections
     first = net.connect("127.0.1.2")
     net.file |= MOVED
     net.instance.reload()
@@ -125,7 +125,7 @@
     at[2].clientConnectionFailed(None, Failure(ConnectionRefusedError()))
     assert told == [EndStatus.OK] and net.reactor.tcpClients[-1][0] == "127.0.3.2"
     net.pass_time(0.6)
-    assert told[1:] == [EndStatus.UNREACHED] * (ledger.most + 1)
+    assert told[1:] == [EndStatus.UNREACHED] * (ledger.max_connections + 1)
 
 
 def test_a_share_that_lapses_holds_calls_back_up_to_the_last_moment() -> None:
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -120,7 +120,7 @@
 ) -> None:
     reply = b"HTTP/1.1 100 Continue\r\n\r\n" * informed + b"HTTP/1.1 %d Some Reason\r\n" % status
     reply += (b"" if begun else b"op-not-begun: 1\r\n") + b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
-    parser = ledger.Reply()
+    parser = ledger.ReplyParser()
     out = [found for part in pieces(reply, lengths) if part and (found := parser.feed(part))]
     assert out == [(status, not begun, body)]
 
@@ -143,11 +143,11 @@
     )
 )
 def test_no_bytes_break_the_replies_or_fill_their_buffer(parts: list[bytes]) -> None:
-    replies = ledger.Reply()
+    replies = ledger.ReplyParser()
     try:
         for part in parts:
             replies.feed(part)
-            assert len(replies.data) <= ledger.HEAD_MOST + ledger.BODY_MOST
+            assert len(replies.data) <= ledger.MAX_HEAD_BYTES + ledger.MAX_BODY_BYTES
     except ledger.BadReply:
         pass
 
@@ -167,8 +167,8 @@
     ],
 )
 def test_a_reply_is_told_as_what_it_proves(reply: bytes, end: EndStatus) -> None:
-    found = ledger.Reply().feed(reply + b"\r\nContent-Length: 0\r\n\r\n")
-    assert found is not None and ledger.proved(found[0], found[1]) is end
+    found = ledger.ReplyParser().feed(reply + b"\r\nContent-Length: 0\r\n\r\n")
+    assert found is not None and ledger.call_end_status(found[0], found[1]) is end
 
 
 @often
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -380,7 +380,7 @@
     gate = Gate(lambda: share[0], lambda: now[0], linger=100)
     assert [gate.begin() for _ in range(3)] == [True, True, False]
     share[0] = 1
-    assert not gate.still(), "the share lapsed while the connection was being opened"
+    assert not gate.still_allowed(), "the share lapsed while the connection was being opened"
     gate.end(left_behind=True)
     gate.end(left_behind=False)
     assert (gate.in_hand(), gate.begin()) == (1, False)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -221,7 +221,7 @@
             if line.transport.disconnected:
                 self.lines.remove(line)
                 net.lose(line)
-            elif not line.way.call.over and chance.random() < 0.5:
+            elif not line.connection.call.over and chance.random() < 0.5:
                 how = chance.random()
                 if how < 0.1:
                     self.lines.remove(line)
