--- a/limeridge/net/ledger.py
+++ b/limeridge/net/ledger.py
@@ -1,11 +1,11 @@
-"""Calls to the ledger: HTTP/1.1, each call on a connection of its own, their number bounded.
+"""HTTP/1.1 client for the ledger: each call on its own connection, with a limit on open connections.
 
-It owns the parser of replies and the telling of how a call went, as what it proves and no more. It must never
-repeat a call, shorten its time or choose which call goes first: calls go out as they are asked for.
+It owns the reply parser and derives from a reply only what it proves about the call. It must never repeat a
+call, shorten its time-out or reorder calls: they are sent in the order in which they were requested.
 
-A connection is not used again. On one that was, a late second copy of a reply is taken for the next call's
-own, and a reset (the ledger had forgotten the connection, or it did the work and broke) proves nothing.
-Opening one costs less than either.
+Connections are not reused. On a reused one, a late duplicate of a reply would be taken as the reply to the
+next call, and a reset would prove nothing: the ledger may have dropped the idle connection, or done the work
+and then failed. Opening a connection costs less than either.
 """
 
 from __future__ import annotations
@@ -21,20 +21,19 @@
 from limeridge.facade import CallEnded, EndStatus
 from limeridge.net.log import Log
 
-MAX_HEAD_BYTES = 8_192  # bytes of a reply's head
-MAX_BODY_BYTES = 65_536  # bytes of a reply's body
-SETTLED_END_CODES = (
-    "done",
-    "unreached",
-    "share-lapsed",
-)  # codes of ends that leave nothing in the ledger's hands
-MAX_INFORMATIONAL_REPLIES = (
-    8  # replies that only announce the one to come (1xx): without end they would keep the loop busy
-)
+MAX_HEAD_BYTES = 8_192
+MAX_BODY_BYTES = 65_536
+# After an end with one of these codes the ledger no longer works on the call.
+SETTLED_END_CODES = ("done", "unreached", "share-lapsed")
+MAX_INFORMATIONAL_REPLIES = 8  # 1xx replies before the final one; an endless series would block the loop
 
 
 class Gate(Protocol):
-    """Who bounds the calls of a whole fleet has a last word on each."""
+    """Enforces the limit on the calls of a whole fleet: asked before a connection is opened (`begin`) and
+    again before the call is sent (`still_allowed`).
+
+    `end` releases the call; `left_behind` means that the ledger may still work on it.
+    """
 
     def begin(self) -> bool: ...
     def still_allowed(self) -> bool: ...
@@ -42,21 +41,21 @@
 
 
 class BadReply(Exception):
-    """The reply proves nothing and the connection is of no use any more."""
+    """The reply is malformed: it proves nothing, and the connection can't be used any more."""
 
 
 class ReplyParser:
-    """One HTTP/1.1 reply out of bytes that come split anywhere. What stands behind it is nobody's."""
+    """Parses one HTTP/1.1 reply from arbitrary chunks of bytes; what follows it is ignored."""
 
     def __init__(self) -> None:
         self.data = bytearray()
-        self.status = 0  # once its head is read
+        self.status = 0  # 0 until the head has been parsed
         self.body_length = 0
         self.not_begun = False
         self.informational_replies = 0
 
     def feed(self, data: bytes) -> tuple[int, bool, bytes] | None:
-        """Status, whether the call is proved not to have begun, and body, once all of it is there."""
+        """Returns the status, whether the call is proved not to have begun, and the body, once complete."""
         self.data += data
         while not self.status:
             end = self.data.find(b"\r\n\r\n", 0, MAX_HEAD_BYTES)
@@ -117,7 +116,7 @@
 
 
 class Call:
-    """One call from its asking to its end; `done` fires once with how it went."""
+    """One call, from its request to its end; `done` fires once with its result."""
 
     def __init__(self, ledger: Ledger, ref: str, time_out_us: int, body: bytes) -> None:
         self.ledger, self.ref, self.time_out_us, self.body = ledger, ref, time_out_us, body
@@ -128,7 +127,7 @@
         self.timer = ledger.reactor.callLater(time_out_us / 1_000_000, self.time_out)
 
     def _finish(self) -> bool:
-        """True for the first that ends it."""
+        """Marks the call as ended; True only for the first time."""
         first, self.over = not self.over, True
         if self.timer.active():
             self.timer.cancel()
@@ -141,24 +140,24 @@
             )
 
     def time_out(self) -> None:
-        # Never sent: the wait for a connection took all its time, and it proves that nothing ran.
+        # A call that was never sent, because no connection was made in time, is proved not to have run.
         sent = self.connection is not None and self.connection.call_protocol is not None
         self._close_connection()
         self.end(EndStatus.TIMED_OUT if sent else EndStatus.UNREACHED)
 
     def _close_connection(self) -> None:
-        """Gives the call up: closing its connection tells the ledger."""
+        """Closes the call's connection, by which the ledger learns that the call was given up."""
         if self.connection is not None:
             self.connection.close("given-up")
 
     def abandon(self) -> None:
-        """Its run is over: nobody waits for how it went."""
+        """Gives the call up because its run has ended: its result is not needed any more."""
         if self._finish():
             self._close_connection()
 
 
 class CallProtocol(TwistedProtocol):
-    """The connection of one call."""
+    """The protocol of one call's connection."""
 
     transport: Any
 
@@ -190,7 +189,7 @@
 
 
 class CallConnection(ClientFactory):
-    """A call's way to the ledger, from the opening of its connection to the end of that."""
+    """The connection of one call, from the attempt to open it until it is closed."""
 
     noisy = False
 
@@ -210,9 +209,8 @@
             protocol.transport.abortConnection()
             return
         call, gate = self.call, self.ledger.gate
-        if (
-            gate is not None and not gate.still_allowed()
-        ):  # the share may have lapsed while it was being opened
+        # The share of calls may have lapsed while the connection was being opened.
+        if gate is not None and not gate.still_allowed():
             self.close("share-lapsed")
             call.end(EndStatus.UNREACHED)
             return
@@ -221,9 +219,8 @@
     def close(self, code: str) -> None:
         if not self.code:
             self.code = code
-            if (
-                self.call_protocol is not None
-            ):  # cut, not closed in good order: that would keep its port for a minute
+            if self.call_protocol is not None:
+                # Aborted, since an orderly close would keep the port in TIME_WAIT for a minute.
                 self.call_protocol.transport.abortConnection()
             elif self.connector is not None:
                 self.connector.disconnect()
@@ -234,7 +231,7 @@
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
         self.handle_closed("unreached")
         if not self.code and self.address != (self.ledger.host, self.ledger.port):
-            self.ledger.requeue(self.call)  # nothing was sent, and the ledger is elsewhere now
+            self.ledger.requeue(self.call)  # nothing was sent, and the ledger's address has changed
         elif not self.code:
             self.ledger.log.event("ledger", "unreached", why=reason.getErrorMessage()[:200])
             self.call.end(EndStatus.UNREACHED)
@@ -242,16 +239,11 @@
 
 class Ledger:
     def __init__(self, reactor: Any, host: str, port: int, log: Log, max_connections: int) -> None:
-        self.reactor, self.host, self.port, self.log, self.max_connections = (
-            reactor,
-            host,
-            port,
-            log,
-            max_connections,
-        )
+        self.reactor, self.host, self.port, self.log = reactor, host, port, log
+        self.max_connections = max_connections
         self.gate: Gate | None = None
         self.waiting: deque[Call] = deque()
-        self.connections = 0  # being opened ones included
+        self.connections = 0  # including those being opened
 
     def call(self, ref: str, time_out_us: int, body: bytes) -> Call:
         call = Call(self, ref, time_out_us, body)
@@ -264,7 +256,7 @@
         self._open()
 
     def set_address(self, host: str, port: int) -> None:
-        """New configuration: calls go there from now on; those that are out end where they are."""
+        """Sends later calls to a new address; those in progress end at the old one."""
         self.host, self.port = host, port
 
     def _open(self) -> None:
@@ -277,7 +269,7 @@
                 continue
             self.connections += 1
             call.connection = CallConnection(self, call)
-            # Without a time-out of its own: the call has one, and a timer more would cost each call.
+            # No connect time-out: the call has a timer already, and a second one would cost every call.
             call.connection.connector = self.reactor.connectTCP(
                 self.host, self.port, call.connection, timeout=None
             )
