--- a/limeridge/net/log.py
+++ b/limeridge/net/log.py
@@ -14,9 +14,11 @@
 
 import orjson
 
-SPAN = 10.0  # seconds over which lines of one event and code are counted
-MOST = 50  # lines of one event and code in a span; a storm of connections must not become a storm of lines
-KINDS = 512  # event and code pairs counted at once
+COUNT_WINDOW_S = 10.0  # seconds over which lines of one event and code are counted
+MAX_LINES_PER_WINDOW = (
+    50  # lines of one event and code in a span; a storm of connections must not become a storm of lines
+)
+MAX_COUNTED_KINDS = 512  # event and code pairs counted at once
 
 
 class Log:
@@ -26,47 +28,51 @@
     def __init__(
         self,
         name: str,
-        sink: int = 1,
+        descriptor: int = 1,
         clock: Callable[[], float] = time.monotonic,
-        unix: Callable[[], float] = time.time,
+        wall_clock: Callable[[], float] = time.time,
         write: Callable[[bytes], int] | None = None,
     ) -> None:
-        self.name, self.clock, self.unix = name, clock, unix
-        self.write = write or partial(os.write, sink)
+        self.name, self.clock, self.wall_clock = name, clock, wall_clock
+        self.write = write or partial(os.write, descriptor)
         self.counts: dict[tuple[str, str], int] = {}
-        self.span_end = clock() + SPAN
+        self.window_end = clock() + COUNT_WINDOW_S
         self.dropped = 0
         if write is None:
             try:
-                os.set_blocking(sink, False)
+                os.set_blocking(descriptor, False)
             except OSError:
                 self.dropped += 1
 
     def event(self, event: str, code: str = "", **fields: object) -> None:
-        if self.clock() >= self.span_end:
-            self.close_span()
+        if self.clock() >= self.window_end:
+            self.close_window()
         kind = (event, code)
         count = self.counts.get(kind, 0) + 1
-        if count > 1 or len(self.counts) < KINDS:
+        if count > 1 or len(self.counts) < MAX_COUNTED_KINDS:
             self.counts[kind] = count
-        if count <= MOST:
+        if count <= MAX_LINES_PER_WINDOW:
             self._write(event, code, fields)
 
     def fault(self, event: str, error: object, code: str = "exception", **fields: object) -> None:
         """An exception that was met and survived, with its traceback in the same line."""
-        met = error if isinstance(error, BaseException) else None
-        text = "".join(traceback.format_exception(met))[-4000:]
+        exception = error if isinstance(error, BaseException) else None
+        text = "".join(traceback.format_exception(exception))[-4000:]
         self.event(event, code, trouble=f"{type(error).__name__}: {error}"[:300], trace=text, **fields)
 
-    def close_span(self) -> None:
-        held_back = {kind: count - MOST for kind, count in self.counts.items() if count > MOST}
+    def close_window(self) -> None:
+        suppressed = {
+            kind: count - MAX_LINES_PER_WINDOW
+            for kind, count in self.counts.items()
+            if count > MAX_LINES_PER_WINDOW
+        }
         self.counts.clear()
-        self.span_end = self.clock() + SPAN
-        for (event, code), count in held_back.items():
+        self.window_end = self.clock() + COUNT_WINDOW_S
+        for (event, code), count in suppressed.items():
             self._write("held-back", code, {"of": event, "lines": count})
 
     def _write(self, event: str, code: str, fields: dict[str, object]) -> None:
-        line: dict[str, object] = {"t": round(self.unix(), 3), "who": self.name, "event": event}
+        line: dict[str, object] = {"t": round(self.wall_clock(), 3), "who": self.name, "event": event}
         if code:
             line["code"] = code
         if self.dropped:
--- a/limeridge/net/nodelist.py
+++ b/limeridge/net/nodelist.py
@@ -10,7 +10,7 @@
 
 from twisted.internet.protocol import DatagramProtocol
 
-EVERY = 0.3  # seconds between reports; the list drops who was silent for 3, and reports get lost
+REPORT_INTERVAL_S = 0.3  # seconds between reports; the list drops who was silent for 3, and reports get lost
 
 
 class NodeList(DatagramProtocol):
@@ -23,11 +23,13 @@
         """New configuration: reports go there from now on."""
         self.host, self.port = host, port
 
-    def report(self, on: bool) -> None:
+    def report(self, ready: bool) -> None:
         transport: Any = self.transport
         if transport is not None:
             try:
-                transport.write(f"HERE {self.name} {'on' if on else 'off'}".encode(), (self.host, self.port))
+                transport.write(
+                    f"HERE {self.name} {'on' if ready else 'off'}".encode(), (self.host, self.port)
+                )
             except OSError:
                 return
 
--- a/limeridge/net/service.py
+++ b/limeridge/net/service.py
@@ -45,7 +45,7 @@
 from limeridge.net.kernel import Kernel
 from limeridge.net.ledger import Call, Gate, Ledger
 from limeridge.net.log import Log
-from limeridge.net.nodelist import EVERY, NodeList
+from limeridge.net.nodelist import REPORT_INTERVAL_S, NodeList
 
 GAUGE_WAIT = 0.02  # seconds that a tick waits for its gauges; answers near their due time can't wait long
 GUARD = 0.05  # seconds between two looks for txns past their due time
@@ -188,7 +188,11 @@
         self.guarded(self.kernel.connect)
         if self.peers is not None:
             self.guarded(self.peers.start)
-        for call, every in ((self.callers.sweep, SWEEP), (self.report, EVERY), (self.guard, GUARD)):
+        for call, every in (
+            (self.callers.sweep, SWEEP),
+            (self.report, REPORT_INTERVAL_S),
+            (self.guard, GUARD),
+        ):
             self.repeat(call, every)
 
     def repeat(self, call: Callable[[], None], every: float) -> None:
@@ -506,7 +510,7 @@
         if self.peers is not None:
             self.guarded(self.peers.stop)
         self.kernel.stop()
-        self.log.close_span()
+        self.log.close_window()
         self.reactor.callLater(0, self.reactor.stop)
 
 
--- a/limeridge/scale/hollow.py
+++ b/limeridge/scale/hollow.py
@@ -22,7 +22,7 @@
 
 from limeridge.config import Address, Setup
 from limeridge.configuration.tenants import TenantTable
-from limeridge.net.nodelist import EVERY as REPORT_EVERY
+from limeridge.net.nodelist import REPORT_INTERVAL_S as REPORT_EVERY
 from limeridge.net.nodelist import NodeList as Reports
 from limeridge.peers.link import Link, boot_time
 from limeridge.peers.messages import Offer, encode
--- a/limeridge/scale/instance_rows.py
+++ b/limeridge/scale/instance_rows.py
@@ -7,7 +7,7 @@
 from functools import reduce
 
 from limeridge.facade import MAX_RESULTS_BYTES
-from limeridge.net.nodelist import EVERY as REPORT_EVERY
+from limeridge.net.nodelist import REPORT_INTERVAL_S as REPORT_EVERY
 from limeridge.peers.habits import Habits
 from limeridge.peers.messages import STREAM_MOST
 from limeridge.scale import assumptions as take
--- a/limeridge/scale/shared_rows.py
+++ b/limeridge/scale/shared_rows.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable, Iterator
 
-from limeridge.net.log import MOST as LOG_LINES_MOST
-from limeridge.net.log import SPAN as LOG_SPAN
+from limeridge.net.log import COUNT_WINDOW_S as LOG_SPAN
+from limeridge.net.log import MAX_LINES_PER_WINDOW as LOG_LINES_MOST
 from limeridge.peers.seeds import Patience
 from limeridge.peers.shares import Terms
 from limeridge.scale import assumptions as take
--- a/limeridge/sim/mutants.py
+++ b/limeridge/sim/mutants.py
@@ -457,8 +457,8 @@
     _m(
         "report-form",
         NODES,
-        "f\"HERE {self.name} {'on' if on else 'off'}\"",
-        'f"HERE {self.name} {on}"',
+        "f\"HERE {self.name} {'on' if ready else 'off'}\"",
+        'f"HERE {self.name} {ready}"',
         "reports to the node list are of no known form",
     ),
     _m(
--- a/limeridge/sim/world.py
+++ b/limeridge/sim/world.py
@@ -171,7 +171,7 @@
         )
         self.reactor = Reactor(world.network, self.life, self.fault, tap, plan.sockets)
         self.reactor.stopped = self.exited
-        log = Log(self.name, clock=self.reactor.seconds, unix=self.unix, write=self.logged)
+        log = Log(self.name, clock=self.reactor.seconds, wall_clock=self.unix, write=self.logged)
 
         def reread(before: Any, now: int) -> Any:
             return reading("config", lambda _: [self.file], before, now)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -255,7 +255,7 @@
         text = "".join(format_exception(error)) if isinstance(error, Exception) else ""
         self.event(event, code, trouble=repr(error), trace=text, **fields)
 
-    def close_span(self) -> None:
+    def close_window(self) -> None:
         pass
 
     def codes(self, event: str) -> list[str]:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -28,7 +28,7 @@
     Rejected,
     frame,
 )
-from limeridge.net.log import MOST, Log
+from limeridge.net.log import MAX_LINES_PER_WINDOW, Log
 from limeridge.peers.gate import Gate
 
 ROOT = Path(__file__).parent.parent / "limeridge"
@@ -659,19 +659,19 @@
     out, sink = os.pipe()
     now = [0.0]
     log = Log("n1", sink, lambda: now[0])
-    for _ in range(3 * MOST):
+    for _ in range(3 * MAX_LINES_PER_WINDOW):
         log.event("link-fault", "seen")
     log.fault("txn-fault", ValueError("two\nlines"))
     now[0] = 60.0
     log.event("later")
     lines = [orjson.loads(line) for line in os.read(out, 1 << 20).splitlines()]
-    assert len(lines) == MOST + 3 and lines[-2] | {"t": 0} == {
+    assert len(lines) == MAX_LINES_PER_WINDOW + 3 and lines[-2] | {"t": 0} == {
         "t": 0,
         "who": "n1",
         "event": "held-back",
         "code": "seen",
         "of": "link-fault",
-        "lines": 2 * MOST,
+        "lines": 2 * MAX_LINES_PER_WINDOW,
     }
     while not log.dropped:  # nobody reads: it neither blocks nor raises
         log.event(f"more-{now[0]}", "code", text="x" * 1_000)
