--- a/limeridge/__main__.py
+++ b/limeridge/__main__.py
@@ -1,8 +1,8 @@
 """`python -m limeridge [--peers FILE]`: starts one service instance; with the file, as a member of a fleet.
 
-It owns the way from the configuration to the running program and the exit codes: 0 after a drain, 1 where
-the address can't be listened on, 2 for bad configuration, told in one line. It must never do the program's
-work, and without the file it imports nothing of membership.
+It owns startup from the configuration to the running program, and the exit codes: 0 after a drain, 1 if the
+address can't be bound, 2 for invalid configuration, reported in one line. It must not do the program's work,
+and without the file it imports nothing of membership.
 """
 
 from __future__ import annotations
@@ -17,10 +17,11 @@
 
 
 def main() -> int:
-    # Against a notice of new configuration that comes before there is anybody to take it: it would end us, or
-    # be passed over by one that has read the file already. It is held back until it can be taken.
+    # SIGHUP is blocked until its handler is installed: earlier it would terminate the process, or be lost
+    # after the file has been read.
     signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGHUP])
-    # Against a log that goes into a socket which got the number of a closed standard stream.
+    # Standard streams that are closed are opened on /dev/null; otherwise a socket could get their descriptor
+    # and the log would be written to it.
     for stream in (0, 1, 2):
         try:
             os.fstat(stream)
@@ -28,23 +29,23 @@
             os.open(os.devnull, os.O_RDWR)
     try:
         setup = read(config_path())
-        peers = _peers(sys.argv[1:]) if len(sys.argv) > 1 else None
-        # Until it serves there is nothing to drain.
+        peers = _parse_peers_option(sys.argv[1:]) if len(sys.argv) > 1 else None
+        # Nothing has to be drained before the instance serves.
         signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
         from limeridge.net.service import run
 
-        return run(setup, _reread, peers)
+        return run(setup, _reread_config, peers)
     except ConfigError as error:
         print(f"limeridge: {' '.join(str(error).split())}", file=sys.stderr)
         return 2
 
 
-def _reread(previous: Setup, now_us: int) -> Steps[Setup]:
+def _reread_config(previous: Setup, now_us: int) -> Steps[Setup]:
     return reading(config_path(), previous=previous, now_us=now_us)
 
 
-def _peers(arguments: list[str]) -> Any:
-    """What makes the part of membership out of the file that the arguments name."""
+def _parse_peers_option(arguments: list[str]) -> Any:
+    """Returns a function that creates the membership component from the file given by `--peers`, or None."""
     import argparse
 
     parser = argparse.ArgumentParser("python -m limeridge", description="Starts one service instance.")
--- a/limeridge/net/log.py
+++ b/limeridge/net/log.py
@@ -1,7 +1,7 @@
-"""The log: one JSON line an event, on standard output.
+"""The log: one JSON line per event, on standard output.
 
-It owns the form of a line and the bound on lines that repeat. It must never block the process (what the
-pipe does not take at once is dropped and counted) and never raise into whoever logs.
+It owns the format of a line and the rate limit on repeated lines. It must never block the process (what the
+pipe does not accept at once is dropped and counted) and never raise an exception into the code that logs.
 """
 
 from __future__ import annotations
@@ -14,16 +14,14 @@
 
 import orjson
 
-COUNT_WINDOW_S = 10.0  # seconds over which lines of one event and code are counted
-MAX_LINES_PER_WINDOW = (
-    50  # lines of one event and code in a span; a storm of connections must not become a storm of lines
-)
-MAX_COUNTED_KINDS = 512  # event and code pairs counted at once
+COUNT_WINDOW_S = 10.0  # lines are counted per event and code within this window
+MAX_LINES_PER_WINDOW = 50  # per event and code, so that a flood of connections does not flood the log
+MAX_COUNTED_KINDS = 512  # event and code pairs that are counted at a time
 
 
 class Log:
-    """`write` takes a line and gives how much of it went out; without one the lines go to descriptor
-    `sink`."""
+    """`write` takes a line and returns how many bytes were written; without it lines are written to
+    `descriptor`."""
 
     def __init__(
         self,
@@ -55,12 +53,13 @@
             self._write(event, code, fields)
 
     def fault(self, event: str, error: object, code: str = "exception", **fields: object) -> None:
-        """An exception that was met and survived, with its traceback in the same line."""
+        """Logs an exception that was caught, with its traceback in the same line."""
         exception = error if isinstance(error, BaseException) else None
         text = "".join(traceback.format_exception(exception))[-4000:]
         self.event(event, code, trouble=f"{type(error).__name__}: {error}"[:300], trace=text, **fields)
 
     def close_window(self) -> None:
+        """Logs how many lines were suppressed of each event and code, and starts a new window."""
         suppressed = {
             kind: count - MAX_LINES_PER_WINDOW
             for kind, count in self.counts.items()
--- a/limeridge/net/nodelist.py
+++ b/limeridge/net/nodelist.py
@@ -1,7 +1,6 @@
-"""Reports to the node list: one UDP datagram each, with no answer.
+"""Client of the node list: reports are single UDP datagrams without a reply.
 
-It owns the form of a report. It must never wait for anything or hold the process up: a list that is absent is
-a datagram lost.
+It owns the format of a report. It must never block: if the node list is down, the datagram is lost.
 """
 
 from __future__ import annotations
@@ -10,7 +9,7 @@
 
 from twisted.internet.protocol import DatagramProtocol
 
-REPORT_INTERVAL_S = 0.3  # seconds between reports; the list drops who was silent for 3, and reports get lost
+REPORT_INTERVAL_S = 0.3  # the list removes an instance after 3 s without reports, and datagrams get lost
 
 
 class NodeList(DatagramProtocol):
@@ -20,7 +19,7 @@
         self.name, self.host, self.port = name, host, port
 
     def set_address(self, host: str, port: int) -> None:
-        """New configuration: reports go there from now on."""
+        """Sends later reports to a new address."""
         self.host, self.port = host, port
 
     def report(self, ready: bool) -> None:
