--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -21,10 +21,10 @@
 from limeridge.net.callers import Frames, frame
 from limeridge.net.service import Instance
 
-MOST = 30.0  # seconds that a condition may take, however slow the machine
+MAX_WAIT_S = 30.0  # seconds that a condition may take, however slow the machine
 START = 5_000_000
 SLACK = 60_000
-PLAIN = {
+BRAIN_SETTINGS = {
     "products.count": 1,
     "products.0.sla_time": 1_000_000,
     "products.0.expiry": 4_000_000,
@@ -57,16 +57,18 @@
 }
 
 
-def until(what: str, held: Callable[[], bool], most: float = MOST) -> None:
-    end = time.monotonic() + most
-    while not held():
-        assert time.monotonic() < end, f"not within {most:g} s: {what}"
+def until(what: str, condition: Callable[[], bool], max_wait_s: float = MAX_WAIT_S) -> None:
+    deadline = time.monotonic() + max_wait_s
+    while not condition():
+        assert time.monotonic() < deadline, f"not within {max_wait_s:g} s: {what}"
         time.sleep(0.05)
 
 
-class Host:
+class BrainHost:
     def __init__(self, **changes: object) -> None:
-        self.settings: dict[str, Any] = PLAIN | {key.replace("__", "."): changes[key] for key in changes}
+        self.settings: dict[str, Any] = BRAIN_SETTINGS | {
+            key.replace("__", "."): changes[key] for key in changes
+        }
         self.now = self.born = START
         self.brain = Brain(self.settings, 7, START)
         self.txns: list[Txn] = []
@@ -83,7 +85,7 @@
         self.wakes: list[int] = []
         self.left: int | None = None
         self.seen: list[Decision] = []
-        self.pull()
+        self.apply_decisions()
 
     def at(self, *stages: Stage) -> list[Txn]:
         return [txn for txn in self.txns if txn.stage in stages]
@@ -104,22 +106,22 @@
         self.round[key] = txn
         return txn
 
-    def take(self, **how: Any) -> Txn:
+    def submit(self, **how: Any) -> Txn:
         txn = self.read(**how)
-        self.pull()
+        self.apply_decisions()
         return txn
 
-    def crowd(self, count: int) -> list[Txn]:
+    def submit_many(self, count: int) -> list[Txn]:
         txns = [self.read() for _ in range(count)]
-        self.pull()
+        self.apply_decisions()
         return txns
 
-    def needs(self, txn: Txn) -> None:
+    def request_call(self, txn: Txn) -> None:
         self.brain.needs_call(self.now, txn)
 
     def block(self, txn: Txn) -> list[Decision]:
-        self.needs(txn)
-        return self.pull()
+        self.request_call(txn)
+        return self.apply_decisions()
 
     def finish(self, txn: Txn, outcome: Outcome = Outcome.OK) -> None:
         joined = txn.stage == Stage.JOINED
@@ -128,7 +130,7 @@
         if outcome in (Outcome.OK, Outcome.ERROR):
             self.answers.setdefault(txn.ref, outcome)
 
-    def go(self, txn: Txn) -> None:
+    def abandon(self, txn: Txn) -> None:
         self.gone.add(txn.ref)
         self.brain.caller_gone(self.now, txn)
 
@@ -160,11 +162,11 @@
                     told = True
                     self.call_ends(self.txns[ref - 1], Outcome.TIMEOUT)
             if told:
-                self.pull()
+                self.apply_decisions()
 
     # ---- decisions, and the rules
 
-    def pull(self) -> list[Decision]:
+    def apply_decisions(self) -> list[Decision]:
         fresh = []
         while (decision := self.brain.decide()) is not None:
             self.apply(decision)
@@ -186,9 +188,9 @@
             assert txn is not None and txn.ref in self.answers
             self.finish(txn, Outcome.CANCELLED)
         elif txn is not None:
-            self.act_on(verb, txn, decision)
+            self.apply_to_txn(verb, txn, decision)
 
-    def act_on(self, verb: Verb, txn: Txn, decision: Decision) -> None:
+    def apply_to_txn(self, verb: Verb, txn: Txn, decision: Decision) -> None:
         key, careful = self.keys[txn.ref], self.settings[f"products.{txn.product}.kind"] != "inquiry-like"
         window = self.settings[f"products.{txn.product}.window"]
         if verb == Verb.RUN:
@@ -242,7 +244,7 @@
         return txn.ref in self.answers or txn.ref in self.gone
 
 
-class Sink:
+class RecordingLog:
     """Stands for the log."""
 
     def __init__(self) -> None:
@@ -262,13 +264,13 @@
         return [line["code"] for line in self.lines if line["event"] == event]
 
 
-class FacadeHost(Host):
+class FacadeHost(BrainHost):
     """The same host and the same rules, with the facade between it and the brain."""
 
     def __init__(self, **changes: object) -> None:
         super().__init__(**changes)
         self.settings |= {"instance.gauges": "cpu_busy,runnable"}
-        self.clock, self.sink, self.wakes = Clock(), Sink(), []
+        self.clock, self.sink, self.wakes = Clock(), RecordingLog(), []
         self.clock.advance(START / 1e6)
         self.facade = Facade(self.settings, 7, self.clock, self.sink, self.woken)
         self.brain, self.steps, self.told = self.facade.brain, {}, {}
@@ -334,7 +336,7 @@
             assert self.steps[txn.ref].called
             self.watch(txn.ref, self.facade.report(self.requests[txn.ref], news))
 
-    def needs(self, txn: Txn) -> None:
+    def request_call(self, txn: Txn) -> None:
         self.report(txn, RunBlocked(1, b"call"))
 
     def finish(self, txn: Txn, outcome: Outcome = Outcome.OK) -> None:
@@ -348,7 +350,7 @@
         spent = self.facade.now() - txn.since
         self.report(txn, CallEnded({v: k for k, v in OUTCOMES.items()}[outcome], spent))
 
-    def go(self, txn: Txn) -> None:
+    def abandon(self, txn: Txn) -> None:
         if txn.ref not in self.told:
             self.gone.add(txn.ref)
             self.facade.cancel_answer(self.requests[txn.ref])
@@ -356,7 +358,7 @@
     def leave(self, budget: int) -> None:
         self.facade.leave(budget)
 
-    def pull(self) -> list[Decision]:
+    def apply_decisions(self) -> list[Decision]:
         if hasattr(self, "facade"):
             self.now = self.facade.now()
             self.facade._apply_decisions()
@@ -385,10 +387,10 @@
                 ]
             )
             self.clock.advance(max(1, next_at - now) / 1e6)
-            self.pull()
+            self.apply_decisions()
 
 
-class Wire(StringTransport):
+class MemoryTransport(StringTransport):
     """A transport in memory; the peer reads when `sent` is called."""
 
     no_delay = half_closed = False
@@ -436,7 +438,7 @@
         protocol.transport = self
 
 
-SAMPLE: dict[str, Any] = {
+SAMPLE_CONFIG: dict[str, Any] = {
     "name": "n1",
     "listen": "127.0.0.1:8443",
     "kernel": "127.0.1.1:7300",
@@ -498,14 +500,14 @@
 }
 
 
-class Net:
+class InstanceHarness:
     """One instance, its sockets in memory, and the far ends of all of them."""
 
     def __init__(self, **changes: Any) -> None:
-        self.reactor, self.log = Reactor(), Sink()
+        self.reactor, self.log = Reactor(), RecordingLog()
         self.reactor.advance(100.0)
-        setup = parse_setup(SAMPLE | changes)
-        self.file: dict[str, Any] = SAMPLE | changes  # what a reload finds
+        setup = parse_setup(SAMPLE_CONFIG | changes)
+        self.file: dict[str, Any] = SAMPLE_CONFIG | changes  # what a reload finds
         self.instance = Instance(
             setup,
             self.reactor,
@@ -527,7 +529,7 @@
         self.reactor.advance(0)
         at = max(i for i, client in enumerate(self.reactor.tcpClients) if client[0] == host)
         protocol = self.reactor.tcpClients.pop(at)[2].buildProtocol(None)
-        protocol.makeConnection(Wire())
+        protocol.makeConnection(MemoryTransport())
         return protocol
 
     def boot(self, **more: Any) -> list[dict[str, Any]]:
@@ -557,7 +559,7 @@
 
     def caller(self) -> Any:
         connection = self.instance.callers.buildProtocol(None)
-        transport = Wire()
+        transport = MemoryTransport()
         if connection is None:  # closed at once, as the real port does
             transport.abortConnection()
             connection = Protocol()
@@ -590,10 +592,10 @@
         protocol.connectionLost(Failure(ConnectionDone() if clean else ConnectionLost()))
 
 
-class FarKernel:
+class FakeKernel:
     """The kernel's own books: runs go on without a link, notices are kept and told again."""
 
-    def __init__(self, net: Net) -> None:
+    def __init__(self, net: InstanceHarness) -> None:
         self.net, self.link, self.opened = net, None, False
         self.notices: list[dict[str, Any]] = []
         self.state: dict[str, str] = {}  # by handle: runs, waits, over
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 import orjson
-from helpers import MOST, SAMPLE, Sink
+from helpers import MAX_WAIT_S, SAMPLE_CONFIG, RecordingLog
 from twisted.internet.epollreactor import EPollReactor
 
 from limeridge.config import parse_setup, reading
@@ -164,7 +164,7 @@
         for made in (self.kernels, self.ledgers, self.roster):
             made.setblocking(False)
         self.file: dict[str, Any] = (
-            SAMPLE
+            SAMPLE_CONFIG
             | {
                 "listen": free_address(),
                 "kernel": address(self.kernels),
@@ -173,7 +173,7 @@
             }
             | changes
         )
-        self.log = Sink()
+        self.log = RecordingLog()
         self.instance = Instance(
             parse_setup(self.file),
             self.reactor,
@@ -191,9 +191,9 @@
             self.reactor.iterate(0)
 
     def until(self, what: str, held: Callable[[], Any]) -> Any:
-        end = time.monotonic() + MOST
+        end = time.monotonic() + MAX_WAIT_S
         while not (found := held()):
-            assert time.monotonic() < end, f"not within {MOST:g} s: {what}"
+            assert time.monotonic() < end, f"not within {MAX_WAIT_S:g} s: {what}"
             self.reactor.iterate(0.005)
         return found
 
@@ -223,7 +223,7 @@
 
     def caller(self) -> CallerEnd:
         host, _, port = self.file["listen"].rpartition(":")
-        far = CallerEnd(socket.create_connection((host, int(port)), timeout=MOST))
+        far = CallerEnd(socket.create_connection((host, int(port)), timeout=MAX_WAIT_S))
         self.fars.append(far)
         return far
 
--- a/tests/test_configuration_live.py
+++ b/tests/test_configuration_live.py
@@ -7,7 +7,7 @@
 
 import orjson
 import pytest
-from helpers import SAMPLE, Host, Net
+from helpers import SAMPLE_CONFIG, BrainHost, InstanceHarness
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -43,14 +43,14 @@
 # ---- the decisions
 
 
-def revise(host: Host, **changes: object) -> None:
+def revise(host: BrainHost, **changes: object) -> None:
     new = host.settings | {name.replace("__", "."): value for name, value in changes.items()}
     host.settings = new
     host.brain.revise(host.now, new)
 
 
 def test_a_request_keeps_the_terms_it_arrived_under_and_the_next_gets_the_new() -> None:
-    host = Host(instance__passes_expiry=False)
+    host = BrainHost(instance__passes_expiry=False)
     before = host.read(patience=0)
     revise(host, products__0__sla_time=100_000, products__0__expiry=200_000, products__0__value=9.0)
     after = host.read(patience=0)
@@ -61,8 +61,8 @@
 
 
 def test_a_held_request_is_judged_by_the_hold_target_of_its_own_revision() -> None:
-    host = Host()
-    txns = host.crowd(5)
+    host = BrainHost()
+    txns = host.submit_many(5)
     assert [txn.stage for txn in txns].count(Stage.HELD) == 3
     revise(host, products__0__sla_time=100_000, products__0__expiry=200_000)
     host.pass_time(120_000)  # past the new target, within the old one
@@ -70,12 +70,12 @@
 
 
 def test_what_was_learnt_survives_a_change_of_limits_as_the_same_times() -> None:
-    host = Host()
+    host = BrainHost()
     for _ in range(20):
-        txn = host.take()
+        txn = host.submit()
         host.pass_time(300_000)
         host.finish(txn)
-        host.pull()
+        host.apply_decisions()
     product = host.brain.products[0]
     costs, cap = list(product.ladder[0].costs), host.brain.call_cap
     usual, work = product.run_times.quantile(0.5) * 1_000_000, product.work()
@@ -98,7 +98,7 @@
 
 
 def test_a_quota_changes_for_the_next_request_and_its_bucket_does_not_begin_full() -> None:
-    host = Host(customers__0__quota_per_s=30.0, group_size=100)
+    host = BrainHost(customers__0__quota_per_s=30.0, group_size=100)
     assert [host.read().over_share for _ in range(6)] == [False] * 4 + [True] * 2
     revise(host, customers__0__quota_per_s=0)
     assert not host.read().over_share
@@ -107,21 +107,21 @@
 
 
 def test_a_class_that_gets_a_skip_worth_leaves_calls_out_and_an_open_run_of_before_does_not() -> None:
-    host = Host(instance__skip_values=[0.0])
-    before = host.take()
+    host = BrainHost(instance__skip_values=[0.0])
+    before = host.submit()
     revise(host, instance__skip_values=[0.5])
-    after = host.take()
+    after = host.submit()
     for txn in (before, after):
         host.block(txn)
         host.pass_time(10_000)
         host.call_ends(txn, Outcome.ERROR)
-        host.pull()
+        host.apply_decisions()
     skipped = [decision.txn for decision in host.seen if decision.verb is Verb.SKIP]
     assert after in skipped and before not in skipped
 
 
 def test_bounds_of_calls_follow_the_share_unless_it_is_dealt_out() -> None:
-    host = Host()
+    host = BrainHost()
     revise(host, instance__calls_out=10.0)
     assert host.brain.call_most == 9.0 and host.brain.call_cap <= 9.0
     host.brain.share(host.now, 3)
@@ -134,7 +134,7 @@
 
 def many(count: int, **more: Any) -> dict[str, Any]:
     accounts = [{"name": f"tenant {number}", "quotaPerS": 30.0} for number in range(count)]
-    return SAMPLE | {"settings": SAMPLE["settings"] | {"accounts": accounts}} | more
+    return SAMPLE_CONFIG | {"settings": SAMPLE_CONFIG["settings"] | {"accounts": accounts}} | more
 
 
 def pieces(data: bytes) -> list[bytes]:
@@ -245,7 +245,7 @@
     ],
 )
 def test_a_fault_in_an_account_is_told_by_its_entry(accounts: Any, told: str) -> None:
-    value = SAMPLE | {"settings": SAMPLE["settings"] | {"accounts": accounts}}
+    value = SAMPLE_CONFIG | {"settings": SAMPLE_CONFIG["settings"] | {"accounts": accounts}}
     for steps in (lambda: run_through(steps_of(json.dumps(value).encode())), lambda: parse_setup(value)):
         with pytest.raises(ConfigError) as fault:
             steps()
@@ -265,7 +265,7 @@
 # ---- the instance
 
 
-def reload(net: Net, **changes: Any) -> dict[str, Any]:
+def reload(net: InstanceHarness, **changes: Any) -> dict[str, Any]:
     """The settings with these changes, by path; gives the log line."""
     net.file = json.loads(json.dumps(net.file))
     for path, value in changes.items():
@@ -285,14 +285,14 @@
     return line
 
 
-def booted() -> Net:
-    net = Net()
+def booted() -> InstanceHarness:
+    net = InstanceHarness()
     net.boot()
     net.commands()
     return net
 
 
-def end_run(net: Net, ref: str) -> None:
+def end_run(net: InstanceHarness, ref: str) -> None:
     net.tell(event="REAP", cursor=None, handle=ref, fate="ok", lasted=30, arg="ZG9uZQ==")
 
 
@@ -343,7 +343,7 @@
     other = net.caller()
     net.ask(other, 1, t="another")
     assert not list(net.instance.facade.open.values())[-1].txn.over_share
-    reload(net, accounts=SAMPLE["settings"]["accounts"])
+    reload(net, accounts=SAMPLE_CONFIG["settings"]["accounts"])
     assert net.instance.setup.tenants.find("acme west") == here.find("acme west") == 0
     net.ask(other, 2)
     assert list(net.instance.facade.open.values())[-1].txn.over_share
@@ -360,7 +360,7 @@
         net,
         classes__1__keyTtl=1,
         classes__1__worth=7.0,
-        accounts=[*SAMPLE["settings"]["accounts"], {"name": "x"}],
+        accounts=[*SAMPLE_CONFIG["settings"]["accounts"], {"name": "x"}],
     )
     net.ask(caller, 2, "book", k="once", r=1)
     assert net.answers(caller)[0]["result"]["doc"] == "ZG9uZQ==" and net.commands() == []
@@ -398,7 +398,7 @@
 
 def test_what_can_t_change_live_is_told_by_name_and_stays() -> None:
     net = booted()
-    classes = [dict(each) for each in SAMPLE["settings"]["classes"]]
+    classes = [dict(each) for each in SAMPLE_CONFIG["settings"]["classes"]]
     classes[1]["idempotency"] = "free"
     net.file |= {"seed": "ab", "name": "n2", "limits": {"sockets": 900}}
     line = reload(net, classes=classes, familyInfo__cpus=9, familyInfo__memoryKb=9.0, groupSize=8)
@@ -418,7 +418,7 @@
 
 def test_classes_added_or_removed_wait_for_a_restart_and_the_others_change_by_name() -> None:
     net = booted()
-    look, book = (dict(each) for each in SAMPLE["settings"]["classes"])
+    look, book = (dict(each) for each in SAMPLE_CONFIG["settings"]["classes"])
     book["worth"] = 8.0
     line = reload(net, classes=[book | {"name": "new"}, book], familyInfo__classSkipWorth=[0.9, 0.4])
     assert line["needs_restart"] == ["settings.classes"] and net.instance.setup.products == ("look", "book")
@@ -432,9 +432,9 @@
 def test_every_setting_is_either_live_or_told() -> None:
     assert set(SETTINGS) >= LIVE_SETTINGS and {"accounts", "familyInfo.cpus"}.isdisjoint(LIVE_SETTINGS)
     assert FIXED_FOR_MEMBERS < LIVE_SETTINGS
-    old = parse_setup(SAMPLE)
-    longer = [each | {"deadline": 9_000_000} for each in SAMPLE["settings"]["classes"]]
-    new = parse_setup(SAMPLE | {"settings": SAMPLE["settings"] | {"classes": longer}})
+    old = parse_setup(SAMPLE_CONFIG)
+    longer = [each | {"deadline": 9_000_000} for each in SAMPLE_CONFIG["settings"]["classes"]]
+    new = parse_setup(SAMPLE_CONFIG | {"settings": SAMPLE_CONFIG["settings"] | {"classes": longer}})
     assert revised(old, new).needs_restart == () and revised(old, new).setup.plain == new.plain
     members = revised(old, new, FIXED_FOR_MEMBERS)
     assert members.needs_restart == ("settings.classes.0.deadline", "settings.classes.1.deadline")
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,7 +18,7 @@
 
 import orjson
 import pytest
-from helpers import MOST, SAMPLE, Net, Wire, until
+from helpers import MAX_WAIT_S, SAMPLE_CONFIG, InstanceHarness, MemoryTransport, until
 from loopback import CallerEnd, Far, KernelEnd, address, bound, free_address, stepped
 from twisted.internet.error import CannotListenError, ConnectionRefusedError
 from twisted.python.failure import Failure
@@ -99,7 +99,7 @@
 
 
 def test_one_that_never_closes_its_own_end_is_cut_after_a_while_and_takes_no_place() -> None:
-    net = Net()
+    net = InstanceHarness()
     net.boot()
     caller = net.caller()
     caller.close("silent")
@@ -109,7 +109,7 @@
 
 
 def test_one_that_is_being_closed_and_has_to_make_room_is_cut_and_not_forgotten() -> None:
-    net = Net(limits={"sockets": 128})
+    net = InstanceHarness(limits={"sockets": 128})
     net.boot()
     callers = net.instance.callers
     silent = [net.caller() for _ in range(callers.most)]
@@ -166,7 +166,7 @@
 
 def test_no_small_write_of_ours_is_ever_held_back() -> None:
     """On each socket of ours, before the first write."""
-    net = Net()
+    net = InstanceHarness()
     net.boot()
     caller = net.caller()
     ref = net.ask(caller, 1)
@@ -234,7 +234,9 @@
 
 @pytest.mark.parametrize("grace", [0, 300_000])
 def test_a_request_read_after_the_notice_runs_within_the_grace_and_is_declined_after_it(grace: int) -> None:
-    settings = SAMPLE["settings"] | {"guarantees": SAMPLE["settings"]["guarantees"] | {"drainGrace": grace}}
+    settings = SAMPLE_CONFIG["settings"] | {
+        "guarantees": SAMPLE_CONFIG["settings"]["guarantees"] | {"drainGrace": grace}
+    }
     with stepped(settings=settings, stop_ms=20_000) as s:
         caller, _ = s.standing()
         s.served(caller)
@@ -295,7 +297,7 @@
 
 
 def test_the_connections_end_before_the_process_does() -> None:
-    net = Net()
+    net = InstanceHarness()
     net.boot()
     caller = net.caller()
     stopped: list[bool] = []
@@ -323,7 +325,7 @@
 
 
 def test_a_notice_to_leave_while_the_address_is_still_held_ends_the_process_and_listens_no_more() -> None:
-    net = Net()
+    net = InstanceHarness()
     tried: list[int] = []
 
     def held(*_: Any) -> None:
@@ -346,7 +348,7 @@
 
 def test_an_address_that_a_dying_predecessor_holds_is_waited_for_and_one_that_is_not_ours_is_not() -> None:
     for number, code in ((errno.EADDRINUSE, 0), (errno.EADDRNOTAVAIL, 1)):
-        net = Net()
+        net = InstanceHarness()
         stopped: list[bool] = []
         net.reactor.stop = lambda: stopped.append(True)  # type: ignore[method-assign] # noqa: B023
 
@@ -384,15 +386,15 @@
         )
         old.note(event="DMESG", fate="on its way")  # unread as the new link stands
         kernel.attempt = ConnectAttempt(kernel)
-        kernel.attempt.buildProtocol(None).makeConnection(Wire())
+        kernel.attempt.buildProtocol(None).makeConnection(MemoryTransport())
         s.until("the end of the old stream", lambda: old.pump().end)
         assert old.end == "end" and [c["handle"] for c in old.commands("IODONE")] == [ref]
 
 
 def test_a_request_that_comes_before_the_kernel_is_up_does_not_hide_that_it_is_cold() -> None:
-    net = Net(
-        settings=SAMPLE["settings"]
-        | {"familyInfo": SAMPLE["settings"]["familyInfo"] | {"justStarted": False}}
+    net = InstanceHarness(
+        settings=SAMPLE_CONFIG["settings"]
+        | {"familyInfo": SAMPLE_CONFIG["settings"]["familyInfo"] | {"justStarted": False}}
     )
     early = net.caller()
     ref = net.ask(early, 1)
@@ -408,7 +410,7 @@
 
 
 def test_a_link_lost_in_the_turn_of_its_resume_sends_nothing_twice() -> None:
-    net = Net()
+    net = InstanceHarness()
     net.boot()
     caller = net.caller()
     ref = net.ask(caller, 1)
@@ -428,7 +430,7 @@
 
 
 def test_a_link_that_is_refused_for_long_is_there_soon_after_the_kernel_is() -> None:
-    net = Net()
+    net = InstanceHarness()
     for _ in range(20):
         net.reactor.advance(0)
         net.reactor.tcpClients.pop()[2].clientConnectionFailed(None, Failure(ConnectionRefusedError()))
@@ -440,7 +442,7 @@
 
 
 def test_a_socket_for_reports_that_can_t_be_had_at_the_start_is_tried_for_again() -> None:
-    net = Net()
+    net = InstanceHarness()
     net.instance.node_list.transport = None
     good = net.reactor.listenUDP
     failed: list[int] = []
@@ -459,7 +461,7 @@
 
 
 def test_a_list_that_moves_while_it_is_down_and_while_we_drain_hears_from_us_at_its_new_place() -> None:
-    net = Net()
+    net = InstanceHarness()
     net.boot()
     net.pass_time(0.4)
     net.file |= {"roster": "127.0.3.3:7947"}
@@ -492,7 +494,7 @@
 
 
 def test_another_customer_s_settings_in_a_reload_change_addresses_and_tenants_alone() -> None:
-    net = Net()
+    net = InstanceHarness()
     net.boot()
     caller = net.caller()
     other = {
@@ -500,7 +502,7 @@
         "accounts": [{"name": "them"}],
         "familyInfo": {"cpus": 64},
     }
-    net.file = SAMPLE | {
+    net.file = SAMPLE_CONFIG | {
         "settings": other,
         "limits": {"sockets": 64, "memory_mb": 16},
         "records": "127.0.3.2:8901",
@@ -540,7 +542,7 @@
 def test_a_notice_that_comes_before_there_is_anybody_to_take_it_is_taken_later(tmp_path: Path) -> None:
     """The real process. Its configuration is a pipe, so that it is read when we say: the notice comes between
     the reading and the taking over of signals."""
-    config, pipe = SAMPLE | {"listen": free_address(), "kernel": "127.0.0.1:9"}, tmp_path / "config"
+    config, pipe = SAMPLE_CONFIG | {"listen": free_address(), "kernel": "127.0.0.1:9"}, tmp_path / "config"
     os.mkfifo(pipe)
     with (tmp_path / "log").open("wb") as log:
         child = subprocess.Popen(
@@ -598,7 +600,7 @@
         assert ref in done and "result" in caller.by_id()[2]
         for each in (caller, late):
             each.close()
-        assert p.child.wait(MOST) == 0
+        assert p.child.wait(MAX_WAIT_S) == 0
         assert (b'"code":"again"' in p.told()) == (times == 2)
 
 
@@ -609,9 +611,9 @@
         self.kernels, self.ledgers, self.roster = bound(), bound(), bound(socket.SOCK_DGRAM)
         for made in (self.kernels, self.ledgers):
             made.listen(64)
-            made.settimeout(MOST)
+            made.settimeout(MAX_WAIT_S)
         self.config = (
-            SAMPLE
+            SAMPLE_CONFIG
             | {
                 "listen": free_address(),
                 "kernel": address(self.kernels),
@@ -634,10 +636,10 @@
         return self.log.read_bytes()
 
     def until(self, what: str, held: Any) -> Any:
-        end = time.monotonic() + MOST
+        end = time.monotonic() + MAX_WAIT_S
         while not (found := held()):
             in_time = time.monotonic() < end and self.child.poll() is None
-            assert in_time, f"not within {MOST:g} s: {what}; its log ends with {self.told()[-2_000:]!r}"
+            assert in_time, f"not within {MAX_WAIT_S:g} s: {what}; its log ends with {self.told()[-2_000:]!r}"
             time.sleep(0.005)
         return found
 
@@ -650,7 +652,7 @@
 
     def caller(self) -> CallerEnd:
         host, _, port = str(self.config["listen"]).rpartition(":")
-        return CallerEnd(socket.create_connection((host, int(port)), timeout=MOST))
+        return CallerEnd(socket.create_connection((host, int(port)), timeout=MAX_WAIT_S))
 
 
 @contextmanager
@@ -749,7 +751,7 @@
         p.boot()
         p.kernel.cursor = cursor
         served(newcomer(p))
-        p.roster.settimeout(MOST)
+        p.roster.settimeout(MAX_WAIT_S)
         begun = processor_seconds(p)
         for _ in range(5):  # a report each 0.3 s, also with nobody there to list it
             assert p.roster.recv(100).split() == [b"HERE", b"n1", b"on"]
@@ -762,7 +764,7 @@
 
 
 def test_what_the_machine_grants_is_shared_out_and_not_what_the_file_says(tmp_path: Path) -> None:
-    (tmp_path / "config.json").write_bytes(orjson.dumps(SAMPLE | {"listen": free_address()}))
+    (tmp_path / "config.json").write_bytes(orjson.dumps(SAMPLE_CONFIG | {"listen": free_address()}))
     with (tmp_path / "log").open("wb") as log:
         child = subprocess.Popen(
             ["/bin/sh", "-c", f"ulimit -n 64 && exec {sys.executable} -m limeridge"],
@@ -773,7 +775,7 @@
         )
     try:
         until("the line of its start", lambda: b'"start"' in (tmp_path / "log").read_bytes())
-        assert SAMPLE["limits"]["sockets"] == 1_024
+        assert SAMPLE_CONFIG["limits"]["sockets"] == 1_024
         assert b'"sockets":64' in (tmp_path / "log").read_bytes().splitlines()[0]
     finally:
         child.kill()
@@ -781,7 +783,7 @@
 
 
 def test_results_kept_for_repeats_take_no_more_than_their_part_of_a_small_memory() -> None:
-    net = Net(limits={"memory_mb": 16})
+    net = InstanceHarness(limits={"memory_mb": 16})
     net.boot()
     caller, doc = net.caller(), "A" * 14_000
     for number in range(1, 500):
@@ -814,8 +816,8 @@
     other: dict[str, Any], open_still: bool
 ) -> None:
     """As bad clients send it: what is served to them is lost to whoever owns it."""
-    accounts = [*SAMPLE["settings"]["accounts"], {"name": "acme east"}]
-    net = Net(settings=SAMPLE["settings"] | {"accounts": accounts})
+    accounts = [*SAMPLE_CONFIG["settings"]["accounts"], {"name": "acme east"}]
+    net = InstanceHarness(settings=SAMPLE_CONFIG["settings"] | {"accounts": accounts})
     net.boot()
     caller, bad = net.caller(), net.caller()
     ref = net.ask(caller, 1, "book", k="acct-1")
@@ -833,7 +835,7 @@
 
 
 def test_a_key_first_used_by_one_that_the_kernel_does_not_know_is_free_for_its_owner() -> None:
-    net = Net()
+    net = InstanceHarness()
     net.boot()
     bad, caller = net.caller(), net.caller()
     forged = net.ask(bad, 1, "book", k="acct-1", doc="b3RoZXI=")
@@ -868,8 +870,11 @@
 @pytest.mark.parametrize(("landed", "runs"), [(-0.02, 1), (0.02, 2)])
 def test_a_repeat_at_the_end_of_a_short_window_goes_by_when_it_landed(landed: float, runs: int) -> None:
     """Read at the same time: what landed within the window never runs again, what landed after it may."""
-    classes = [SAMPLE["settings"]["classes"][0], SAMPLE["settings"]["classes"][1] | {"keyTtl": 500_000}]
-    net = Net(settings=SAMPLE["settings"] | {"classes": classes, "round": 0})
+    classes = [
+        SAMPLE_CONFIG["settings"]["classes"][0],
+        SAMPLE_CONFIG["settings"]["classes"][1] | {"keyTtl": 500_000},
+    ]
+    net = InstanceHarness(settings=SAMPLE_CONFIG["settings"] | {"classes": classes, "round": 0})
     net.boot()
     caller = net.caller()
     begun = net.instance.callers.unix()
@@ -958,7 +963,7 @@
     newcomers that could not come. What showed it: the log's `drain` `time-up` with `connections` 0, 0.017 to
     0.039 s before the kill."""
     for offset in (0.0, 0.013, 0.031, 0.049):
-        net = Net()
+        net = InstanceHarness()
         net.boot()
         net.caller()  # never ends its own end
         ended: list[float] = []
@@ -984,7 +989,7 @@
 
 def test_the_kill_follows_the_signal_and_not_the_turn_in_which_it_is_taken() -> None:
     """The signal's handler runs within a turn of the loop, and what it asks for in the next one."""
-    net = Net()
+    net = InstanceHarness()
     net.boot()
     instance = net.instance
     instance.noticed(signal.SIGHUP)
@@ -993,7 +998,7 @@
     net.reactor.rightNow += 0.4  # the turn goes on
     instance.noticed(signal.SIGINT)
     instance.leave()
-    stop = SAMPLE["stop_ms"] / 1_000
+    stop = SAMPLE_CONFIG["stop_ms"] / 1_000
     assert instance.kill_at == pytest.approx(signalled + stop)
     brain = instance.facade.brain
     assert brain.leave_at == pytest.approx(signalled * 1e6, abs=10)
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 import pytest
-from helpers import PLAIN
+from helpers import BRAIN_SETTINGS
 from test_ramp import Life, in_windows
 
 from limeridge.sim.explore import run_plan
@@ -69,7 +69,7 @@
 
 
 def settings_of(share: float, window: int, linger: int) -> dict[str, Any]:
-    return PLAIN | {
+    return BRAIN_SETTINGS | {
         "products.0.sla_time": 1_500_000,
         "instance.skip_values": [0.0],
         "instance.calls_out": share,
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -12,7 +12,7 @@
 
 import orjson
 import pytest
-from helpers import SAMPLE, Net
+from helpers import SAMPLE_CONFIG, InstanceHarness
 from twisted.internet.error import ConnectionRefusedError
 from twisted.python.failure import Failure
 
@@ -32,17 +32,19 @@
 from limeridge.peers.gate import Gate
 
 ROOT = Path(__file__).parent.parent / "limeridge"
-ROOMY = SAMPLE["settings"] | {"familyInfo": SAMPLE["settings"]["familyInfo"] | {"callsOut": 40.0}}
+ROOMY = SAMPLE_CONFIG["settings"] | {
+    "familyInfo": SAMPLE_CONFIG["settings"]["familyInfo"] | {"callsOut": 40.0}
+}
 REPLY = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nreply"
 
 
-def booted(**changes: Any) -> Net:
-    net = Net(**changes)
+def booted(**changes: Any) -> InstanceHarness:
+    net = InstanceHarness(**changes)
     assert net.boot() == [{"event": "OPEN", "cursor": 0}]
     return net
 
 
-def at_call(net: Net) -> tuple[Any, str, Any]:
+def at_call(net: InstanceHarness) -> tuple[Any, str, Any]:
     """A txn whose run is at a call that is out: its caller, its ref, the connection of the call."""
     caller = net.caller()
     ref = net.ask(caller, 1)
@@ -588,7 +590,7 @@
 
 
 def test_the_kernel_may_come_late_and_the_ledger_never() -> None:
-    net = Net()
+    net = InstanceHarness()
     caller = net.caller()
     net.send(caller, jsonrpc="2.0", id=1, method="heartbeat")
     assert net.answers(caller)[0]["result"]["ready"] is False
@@ -748,7 +750,7 @@
 
 
 def test_a_try_to_link_that_an_address_has_outrun_comes_to_nothing() -> None:
-    net = Net()
+    net = InstanceHarness()
     net.file |= MOVED
     net.instance.reload()
     late = net.connect("127.0.1.1")
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -10,7 +10,7 @@
 
 import orjson
 import pytest
-from helpers import SAMPLE
+from helpers import SAMPLE_CONFIG
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -186,7 +186,7 @@
     )
 )
 def test_any_json_is_decoded_to_a_message_or_a_fault(value: Any) -> None:
-    decoder = callers.Decoder(["look"], parse_setup(SAMPLE).tenants)
+    decoder = callers.Decoder(["look"], parse_setup(SAMPLE_CONFIG).tenants)
     message = decoder.decode(json.dumps(value).encode())
     assert isinstance(message, callers.Ask | callers.Revoke | callers.Heartbeat | callers.Fault)
 
@@ -245,7 +245,7 @@
 
 def changed(path: str, value: object) -> dict[str, Any]:
     """The sample with one key changed, or left out for None."""
-    sample: dict[str, Any] = json.loads(json.dumps(SAMPLE))
+    sample: dict[str, Any] = json.loads(json.dumps(SAMPLE_CONFIG))
     *way, last = path.split(".")
     holder: Any = sample
     for part in way:
@@ -274,7 +274,7 @@
         "guarantees.rampTime=10000000 ceilings.retryAfter=true ceilings.maxRetryAfter=1000000 groupSize=3 "
         "round=5000 clients.marksRetry=true valueBy=work zones=a,b"
     )
-    setup = parse_setup(SAMPLE)
+    setup = parse_setup(SAMPLE_CONFIG)
     plain = setup.plain
     told = settings_of((name, value) for name, _, value in (p.partition("=") for p in text.split()))
     customers = {name: told.pop(name) for name in list(told) if name.startswith("customers.")}
@@ -359,7 +359,7 @@
 
 def test_a_file_that_is_missing_or_no_json_is_told(tmp_path: Any) -> None:
     (tmp_path / "bad").write_bytes(b"{")
-    (tmp_path / "good").write_bytes(orjson.dumps(SAMPLE | {"new": base64.b64encode(b"x").decode()}))
+    (tmp_path / "good").write_bytes(orjson.dumps(SAMPLE_CONFIG | {"new": base64.b64encode(b"x").decode()}))
     assert read(str(tmp_path / "good")).stop == 3_200_000
     for path in (None, str(tmp_path / "none"), str(tmp_path / "bad")):
         with pytest.raises(ConfigError, match="BALANCER_CONFIG: expected"):
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -19,7 +19,7 @@
 
 import orjson
 import pytest
-from helpers import MOST, PLAIN, SAMPLE, until
+from helpers import BRAIN_SETTINGS, MAX_WAIT_S, SAMPLE_CONFIG, until
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 from loopback import CallerEnd, Far, KernelEnd, address, bound, free_address
@@ -117,7 +117,7 @@
     """Each knows its part of the limit alone. Counted at the ledger, in calls of mean work, a window each."""
     seed = 1_000 * count + work
     chance = random.Random(seed)
-    plain = PLAIN | {
+    plain = BRAIN_SETTINGS | {
         "products.0.sla_time": 1_500_000,
         "instance.skip_values": [0.0],
         "instance.cold": True,
@@ -161,7 +161,7 @@
     """Callers that were told send all they may: the allowance, and its fraction by chance. More may turn up
     than the settings know of, a few at a time or all at once."""
     chance = random.Random(seed)
-    plain = PLAIN | {
+    plain = BRAIN_SETTINGS | {
         "instance.say": "allowance",
         "instance.cold": True,
         "instance.cores": cores,
@@ -221,7 +221,7 @@
 @given(say=st.sampled_from(["weight", "floor"]), start=st.floats(0.02, 0.9), seed=st.integers(0, 10**6))
 def test_a_share_told_by_a_cold_instance_is_never_over_its_ramp(say: str, start: float, seed: int) -> None:
     chance = random.Random(seed)
-    plain = PLAIN | {
+    plain = BRAIN_SETTINGS | {
         "instance.say": say,
         "instance.cold": True,
         "rules.cold_from": start,
@@ -250,7 +250,7 @@
 
 def test_a_cold_instance_that_nobody_comes_to_welcomes_by_its_ramp_and_a_warm_one_whole() -> None:
     for cold, least, at_most in ((True, 0.3, 0.45), (False, 1.0, 1.0)):
-        plain = PLAIN | {"instance.say": "weight", "rules.cold_from": 0.25, "rules.ramp_time": RAMP}
+        plain = BRAIN_SETTINGS | {"instance.say": "weight", "rules.cold_from": 0.25, "rules.ramp_time": RAMP}
         brain = Brain(plain, 1, 0)
         brain.booted(0, cold, 0)
         for now in range(0, 1_500_000, 50_000):
@@ -271,8 +271,8 @@
         self.number, self.folder = number, folder
         self.kernels = bound()
         self.kernels.listen(4)
-        self.kernels.settimeout(MOST)
-        info = SAMPLE["settings"]["familyInfo"] | {
+        self.kernels.settimeout(MAX_WAIT_S)
+        info = SAMPLE_CONFIG["settings"]["familyInfo"] | {
             "callsOut": share,
             "callsOver": OVER,
             "linger": 100_000,
@@ -281,13 +281,13 @@
             "cpus": 4,
             "memoryKb": 100_000.0,
         }
-        self.config = SAMPLE | {
+        self.config = SAMPLE_CONFIG | {
             "name": f"n{number}",
             "listen": free_address(),
             "kernel": address(self.kernels),
             "records": ledger,
             "roster": roster,
-            "settings": SAMPLE["settings"] | {"familyInfo": info, "groupSize": count},
+            "settings": SAMPLE_CONFIG["settings"] | {"familyInfo": info, "groupSize": count},
         }
         self.path = folder / f"{number}.json"
         self.path.write_bytes(orjson.dumps(self.config))
@@ -350,7 +350,7 @@
         if self.caller is None:
             host, _, port = str(self.config["listen"]).rpartition(":")
             try:
-                self.caller = CallerEnd(socket.create_connection((host, int(port)), timeout=MOST))
+                self.caller = CallerEnd(socket.create_connection((host, int(port)), timeout=MAX_WAIT_S))
             except OSError:
                 return False
             self.caller.check()
@@ -459,7 +459,7 @@
         for machine in machines:
             machine.kill()
         ledger.over.set()
-        ledger.thread.join(MOST)
+        ledger.thread.join(MAX_WAIT_S)
     print(f"ready: nine in ten within {waits[int(0.9 * count) - 1]:.2f} s, all within {waits[-1]:.2f} s")
     assert waits[int(0.9 * count) - 1] < 10.0, "nine in ten are ready within 10 s"
     spans = [(int((a - begun) * 1e6), int((b - begun) * 1e6)) for a, b in ledger.spans]
--- a/tests/test_resent_commands.py
+++ b/tests/test_resent_commands.py
@@ -16,12 +16,12 @@
 from typing import Any
 
 import orjson
-from helpers import Net
+from helpers import InstanceHarness
 
 
-def waiting() -> tuple[Net, Any, str]:
+def waiting() -> tuple[InstanceHarness, Any, str]:
     """A request whose call was replied to, the reply written to a link that is then lost."""
-    net = Net()
+    net = InstanceHarness()
     net.boot()
     caller = net.caller()
     ref = net.ask(caller, 1)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 import pytest
-from helpers import FacadeHost, FarKernel, Host, Net
+from helpers import BrainHost, FacadeHost, FakeKernel, InstanceHarness
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 from twisted.python.failure import Failure
@@ -28,7 +28,7 @@
 CALL_ENDS = [Outcome.OK, Outcome.OK, Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET]
 
 
-def step(host: Host, chance: random.Random) -> None:
+def step(host: BrainHost, chance: random.Random) -> None:
     what = chance.random()
     if what < 0.45:
         key = f"ref-{chance.randrange(6)}" if host.settings["products.0.kind"] == "referenced" else ""
@@ -44,23 +44,23 @@
     elif what < 0.65 and (running := host.at(Stage.RUNNING)):
         host.finish(chance.choice(running), chance.choice(CALL_ENDS[:3]))
     elif what < 0.8 and (running := host.at(Stage.RUNNING)):
-        host.needs(chance.choice(running))
+        host.request_call(chance.choice(running))
     elif what < 0.92 and (calling := host.at(Stage.CALLING)):
         host.call_ends(chance.choice(calling), chance.choice(CALL_ENDS))
     elif what < 0.94 and (around := host.at(Stage.HELD, Stage.PARKED, Stage.RUNNING)):
-        host.go(chance.choice(around))
+        host.abandon(chance.choice(around))
     elif what < 0.97:
         joined = [txn for txn in host.at(Stage.JOINED) if txn.prior and txn.prior.stage == Stage.OVER]
         for txn in joined[:1]:
             host.finish(txn, Outcome.OK if txn.prior and txn.prior.settled else Outcome.ERROR)
 
 
-@pytest.mark.parametrize("kind", [Host, FacadeHost])
+@pytest.mark.parametrize("kind", [BrainHost, FacadeHost])
 @pytest.mark.parametrize("changes", OTHERS, ids=lambda c: "-".join(str(v) for v in c.values()))
 @settings(derandomize=True, max_examples=16, deadline=None, suppress_health_check=list(HealthCheck))
 @given(seed=st.integers(0, 10**6), drain=st.sampled_from([0, 250_000, 1_500_000]))
 def test_rules_hold_after_every_step(
-    kind: type[Host], changes: dict[str, object], seed: int, drain: int
+    kind: type[BrainHost], changes: dict[str, object], seed: int, drain: int
 ) -> None:
     host, chance = kind(**changes), random.Random(seed)
     for number in range(260):
@@ -72,7 +72,7 @@
         for txn in host.at(Stage.PARKED, Stage.CALLING):
             if txn.answered:
                 host.finish(txn, Outcome.CANCELLED)
-        host.pull()
+        host.apply_decisions()
         host.pass_time(chance.choice([5_000, 20_000, 90_000]), chance.random(), chance.randrange(12))
         if host.left is not None and host.now >= stop - 100_000:
             assert all(host.over(txn) for txn in host.txns), "drain: unanswered at the stop"
@@ -82,17 +82,17 @@
 @settings(derandomize=True, max_examples=12, deadline=None, suppress_health_check=list(HealthCheck))
 @given(seed=st.integers(0, 10**6))
 def test_calls_in_hand_stay_within_a_share_that_changes(seed: int) -> None:
-    host, chance, share, most = Host(instance__cores=8), random.Random(seed), 0, 0
+    host, chance, share, most = BrainHost(instance__cores=8), random.Random(seed), 0, 0
     for number in range(200):
         if number % 20 == 0:
             share = chance.choice((0, 1, 2, 3, 9)) if number else 9
             host.brain.share(host.now, share)
         before = set(host.calls)
         for _ in range(3):
-            host.take(patience=900_000)
+            host.submit(patience=900_000)
         for txn in host.at(Stage.RUNNING)[:4]:
-            host.needs(txn)
-        host.pull()
+            host.request_call(txn)
+        host.apply_decisions()
         if set(host.calls) - before:
             assert len(host.calls) <= share
             most = max(most, len(host.calls))
@@ -109,8 +109,8 @@
     """Seeded peers of one instance, over transports in memory; what they are owed is checked as time goes."""
 
     def __init__(self, seed: int) -> None:
-        self.chance, self.net = random.Random(seed), Net()
-        self.kernel = FarKernel(self.net)
+        self.chance, self.net = random.Random(seed), InstanceHarness()
+        self.kernel = FakeKernel(self.net)
         self.callers: list[Any] = []
         self.lines: list[Any] = []
         self.former: list[Any] = []
@@ -258,10 +258,10 @@
 
 def test_same_events_same_decisions() -> None:
     def run() -> list[str]:
-        host, chance = Host(instance__say="weight"), random.Random(3)
+        host, chance = BrainHost(instance__say="weight"), random.Random(3)
         for _ in range(200):
             step(host, chance)
-            host.pull()
+            host.apply_decisions()
             host.pass_time(20_000, 1.0, 6)
         return [f"{d.verb}{d.txn.ref if d.txn else ''}{d.us}{d.level}" for d in host.seen]
 
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -13,7 +13,7 @@
 import orjson
 import pytest
 from click.testing import CliRunner
-from helpers import MOST, until
+from helpers import MAX_WAIT_S, until
 
 from limeridge.cli.duty import duty as duty_commands
 from limeridge.cli.peers import ask
@@ -153,7 +153,7 @@
 
     # A drain: told, so that nobody waits for a probe to fail.
     fleet.children[1].send_signal(signal.SIGTERM)
-    assert fleet.children[1].wait(MOST) == 0
+    assert fleet.children[1].wait(MAX_WAIT_S) == 0
     until(
         "known to have left",
         lambda: all(
--- a/tests/test_unread.py
+++ b/tests/test_unread.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 import pytest
-from helpers import MOST
+from helpers import MAX_WAIT_S
 from loopback import CallerEnd, Stepped, stepped
 
 from limeridge.net.callers import CLOSE_AFTER, PARTING, SETTLE, STRANGERS, WHOLE
@@ -152,7 +152,7 @@
             s.until("the first half", lambda: ours.frames.begun)
             message = message[20:]
         far.write(message)
-        assert select.select([ours.transport.socket], [], [], MOST)[0], "it has not arrived"
+        assert select.select([ours.transport.socket], [], [], MAX_WAIT_S)[0], "it has not arrived"
         clock.ahead += max(WHOLE, CLOSE_AFTER) + 0.1
         s.instance.callers.sweep()
         all_answered(s, {ref: far})
