--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,5 +1,5 @@
-"""Stand-ins: a host that makes legal events for one brain and checks the four rules after every step, the
-same through the facade, and the far ends of an instance's sockets in memory."""
+"""Test doubles: a host that feeds valid events to a brain and checks its rules after every step, the same
+host with the facade in between, and in-memory peers for all sockets of an instance."""
 
 import time
 from collections.abc import Callable
@@ -21,9 +21,9 @@
 from limeridge.net.callers import Frames, frame
 from limeridge.net.service import Instance
 
-MAX_WAIT_S = 30.0  # seconds that a condition may take, however slow the machine
-START = 5_000_000
-SLACK = 60_000
+MAX_WAIT_S = 30.0  # for a condition to hold, also on a slow machine
+START_US = 5_000_000
+SLACK_US = 60_000
 BRAIN_SETTINGS = {
     "products.count": 1,
     "products.0.sla_time": 1_000_000,
@@ -49,7 +49,7 @@
     "rules.overload_factor": 4.0,
     "rules.cold_from": 0.25,
     "rules.ramp_time": 10_000_000,
-    "rules.answer_slack": SLACK,
+    "rules.answer_slack": SLACK_US,
     "round": 5_000,
     "limits.advice": True,
     "limits.come_back_after": 1_000_000,
@@ -65,29 +65,32 @@
 
 
 class BrainHost:
+    """Feeds events to a brain, applies its decisions and checks the rules; time is simulated."""
+
     def __init__(self, **changes: object) -> None:
         self.settings: dict[str, Any] = BRAIN_SETTINGS | {
             key.replace("__", "."): changes[key] for key in changes
         }
-        self.now = self.born = START
-        self.brain = Brain(self.settings, 7, START)
+        self.now = self.started_at = START_US
+        self.brain = Brain(self.settings, 7, START_US)
         self.txns: list[Txn] = []
         self.answers: dict[int, Verb | Outcome] = {}
         self.gone: set[int] = set()
+        # Attempts by key, with the time until which they are kept: earlier ones, and the latest.
         self.ended: dict[str, list[tuple[Txn, int]]] = {}
         self.round: dict[str, Txn] = {}
         self.keys: dict[int, str] = {}
         self.table: dict[str, tuple[Txn, int]] = {}
         self.ran: dict[str, list[int]] = {}
-        self.calls: dict[int, tuple[int, int]] = {}  # out: begin, time-out
+        self.calls: dict[int, tuple[int, int]] = {}  # open calls: start, time-out
         self.call_log: list[tuple[int, int]] = []
         self.last_call: dict[int, Outcome] = {}
         self.wakes: list[int] = []
-        self.left: int | None = None
+        self.left_at: int | None = None
         self.seen: list[Decision] = []
         self.apply_decisions()
 
-    def at(self, *stages: Stage) -> list[Txn]:
+    def in_stages(self, *stages: Stage) -> list[Txn]:
         return [txn for txn in self.txns if txn.stage in stages]
 
     # ---- events
@@ -97,10 +100,10 @@
         entries = [e for e in (*self.ended.get(key, []), self.table.get(key)) if key and e and e[1] > landed]
         prior = next((txn for txn, _ in entries if txn.ran), entries[-1][0] if entries else None)
         if prior is None and key:
-            prior = self.round.get(key)  # two read in one round see each other, kept or not
+            prior = self.round.get(key)  # attempts read in the same round find each other, kept or not
         ref = len(self.txns) + 1
-        told = {"patience": 3_000_000, "size_kb": 20.0, "prior": prior, "repeat": prior is not None} | more
-        txn = self.brain.arrived(self.now, ref, product, age=age, **told)
+        fields = {"patience": 3_000_000, "size_kb": 20.0, "prior": prior, "repeat": prior is not None} | more
+        txn = self.brain.arrived(self.now, ref, product, age=age, **fields)
         self.keys[ref] = key or f"own-{ref}"
         self.txns.append(txn)
         self.round[key] = txn
@@ -150,31 +153,31 @@
     def pass_time(self, us: int, busy: float = 0.5, runnable: float = 1.0) -> None:
         until = self.now + us
         while self.now < until:
-            told = False
+            changed = False
             out = [(begin + limit, ref) for ref, (begin, limit) in self.calls.items()]
             self.now = min([until, *self.wakes, *(end for end, _ in out)])
             if self.now in self.wakes:
                 self.wakes.remove(self.now)
-                told = True
+                changed = True
                 self.brain.woke(self.now, 1, {"busy": busy, "runnable": runnable})
             for end, ref in out:
                 if end <= self.now:
-                    told = True
+                    changed = True
                     self.call_ends(self.txns[ref - 1], Outcome.TIMEOUT)
-            if told:
+            if changed:
                 self.apply_decisions()
 
-    # ---- decisions, and the rules
+    # ---- decisions and the rules
 
     def apply_decisions(self) -> list[Decision]:
-        fresh = []
+        decisions = []
         while (decision := self.brain.decide()) is not None:
             self.apply(decision)
-            fresh.append(decision)
-        self.seen += fresh
+            decisions.append(decision)
+        self.seen += decisions
         self.round.clear()
         self.check()
-        return fresh
+        return decisions
 
     def apply(self, decision: Decision) -> None:
         verb, txn = decision.verb, decision.txn
@@ -196,7 +199,9 @@
         if verb == Verb.RUN:
             runs = self.ran.setdefault(key, [])
             assert not careful or all(txn.arrived >= landed + window for landed in runs), "duplicate"
-            assert self.left is None or txn.arrived <= self.left + self.settings["rules.drain_grace"], "drain"
+            assert self.left_at is None or txn.arrived <= self.left_at + self.settings["rules.drain_grace"], (
+                "drain"
+            )
             runs.append(txn.arrived)
         elif verb in (Verb.DECLINE, Verb.VOID):
             assert txn.ref not in self.answers, "two answers"
@@ -224,14 +229,14 @@
     def check(self) -> None:
         get = self.settings.__getitem__
         for txn in self.txns:
-            assert self.over(txn) or self.now <= txn.due + SLACK, "lost"
+            assert self.over(txn) or self.now <= txn.due + SLACK_US, "lost"
         assert len(self.wakes) <= 1
         begin = get("rules.cold_from") if get("instance.cold") else 1.0
-        speed = min(1.0, begin + (1 - begin) * (self.now - self.born) / get("rules.ramp_time"))
+        speed = min(1.0, begin + (1 - begin) * (self.now - self.started_at) / get("rules.ramp_time"))
         crowd = (1 + (get("rules.overload_factor") - 1) * speed) * get("instance.cores")
-        assert len(self.at(Stage.RUNNING)) <= crowd, "fall-over: crowd"
-        memory = sum(txn.size_kb for txn in self.at(Stage.HELD, Stage.JOINED))
-        running = sum(txn.size_kb for txn in self.at(Stage.RUNNING, Stage.PARKED, Stage.CALLING))
+        assert len(self.in_stages(Stage.RUNNING)) <= crowd, "fall-over: crowd"
+        memory = sum(txn.size_kb for txn in self.in_stages(Stage.HELD, Stage.JOINED))
+        running = sum(txn.size_kb for txn in self.in_stages(Stage.RUNNING, Stage.PARKED, Stage.CALLING))
         memory += running * get("instance.run_factor")
         memory += sum(until > self.now for _, until in self.table.values()) * get("instance.kb_per_key")
         assert memory <= get("instance.memory_kb"), "fall-over: memory"
@@ -245,7 +250,7 @@
 
 
 class RecordingLog:
-    """Stands for the log."""
+    """Replaces the log and keeps its lines."""
 
     def __init__(self) -> None:
         self.lines: list[dict[str, Any]] = []
@@ -265,82 +270,83 @@
 
 
 class FacadeHost(BrainHost):
-    """The same host and the same rules, with the facade between it and the brain."""
+    """The same host and rules, with the facade between the host and the brain."""
 
     def __init__(self, **changes: object) -> None:
         super().__init__(**changes)
         self.settings |= {"instance.gauges": "cpu_busy,runnable"}
-        self.clock, self.sink, self.wakes = Clock(), RecordingLog(), []
-        self.clock.advance(START / 1e6)
-        self.facade = Facade(self.settings, 7, self.clock, self.sink, self.woken)
-        self.brain, self.steps, self.told = self.facade.brain, {}, {}
+        self.clock, self.log, self.wakes = Clock(), RecordingLog(), []
+        self.clock.advance(START_US / 1e6)
+        self.facade = Facade(self.settings, 7, self.clock, self.log, self.on_wake)
+        self.brain, self.steps, self.received = self.facade.brain, {}, {}
         self.requests: dict[int, Request] = {}
         self.figures = (0.5, 1.0)
-        carry_out, arrived = self.facade._apply_decision, self.brain.arrived
+        apply_decision, arrived = self.facade._apply_decision, self.brain.arrived
 
-        def both(decision: Decision) -> None:
+        def check_and_apply(decision: Decision) -> None:
             self.apply(decision)
-            carry_out(decision)
+            apply_decision(decision)
 
-        def noted(*args: Any, **more: Any) -> Txn:
+        def record_arrival(*args: Any, **more: Any) -> Txn:
             txn = arrived(*args, **more)
             self.txns.append(txn)
             return txn
 
-        self.facade._apply_decision, self.brain.arrived = both, noted  # type: ignore[method-assign]
+        self.facade._apply_decision = check_and_apply  # type: ignore[method-assign]
+        self.brain.arrived = record_arrival  # type: ignore[method-assign]
 
-    def woken(self) -> None:
+    def on_wake(self) -> None:
         self.now = self.facade.now()
         self.facade.tick(self.now, self.figures)
 
     def read(self, product: int = 0, key: str = "", age: int = 0, **more: Any) -> Txn:
         ref = self.facade.last_ref + 1
-        told = {"patience": 3_000_000, "size_kb": 20.0, "caller": 0, "resent": False} | more
+        fields = {"patience": 3_000_000, "size_kb": 20.0, "caller": 0, "resent": False} | more
         self.keys[ref] = key or f"own-{ref}"
         self.requests[ref] = Request(
             f"{ref:016x}",
             "look",
             product,
             0,
-            told["caller"],
+            fields["caller"],
             age,
-            told["patience"],
-            told["size_kb"],
+            fields["patience"],
+            fields["size_kb"],
             f"body {key or ref}",
-            lambda answer: self.hear(ref, answer),
-            told["resent"],
+            lambda answer: self.on_answer(ref, answer),
+            fields["resent"],
             key=key,
         )
-        self.watch(ref, self.facade.submit(self.requests[ref]))
+        self.expect_step(ref, self.facade.submit(self.requests[ref]))
         return self.txns[ref - 1]
 
-    def hear(self, ref: int, answer: Answer) -> None:
-        assert ref not in self.told, "two answers"
+    def on_answer(self, ref: int, answer: Answer) -> None:
+        assert ref not in self.received, "two answers"
         assert ref not in self.gone
-        self.told[ref] = answer
+        self.received[ref] = answer
         if answer.kind is AnswerKind.SETTLED:
             key = self.keys[ref]
             assert any(answer.doc == f"result {other}" for other, k in self.keys.items() if k == key)
         self.answers.setdefault(ref, Outcome.OK if answer.kind is AnswerKind.SETTLED else Outcome.ERROR)
 
-    def watch(self, ref: int, step: Any) -> None:
+    def expect_step(self, ref: int, step: Any) -> None:
         assert ref not in self.steps or self.steps[ref].called, "two steps awaited"
         self.steps[ref] = step
 
-    def report(self, txn: Txn, news: Any) -> None:
+    def report(self, txn: Txn, event: Any) -> None:
         self.now = self.facade.now()
         if self.steps[txn.ref].called:
-            self.watch(txn.ref, self.facade.report(self.requests[txn.ref], news))
+            self.expect_step(txn.ref, self.facade.report(self.requests[txn.ref], event))
         else:
             self.facade.interrupt(self.requests[txn.ref])
             assert self.steps[txn.ref].called
-            self.watch(txn.ref, self.facade.report(self.requests[txn.ref], news))
+            self.expect_step(txn.ref, self.facade.report(self.requests[txn.ref], event))
 
     def request_call(self, txn: Txn) -> None:
         self.report(txn, RunBlocked(1, b"call"))
 
     def finish(self, txn: Txn, outcome: Outcome = Outcome.OK) -> None:
-        if txn.stage not in (Stage.JOINED, Stage.OVER):  # who joined is ended by the facade
+        if txn.stage not in (Stage.JOINED, Stage.OVER):  # repeats are ended by the facade
             self.end_call(txn, lingers=txn.stage == Stage.CALLING)
             self.report(txn, RunEnded({v: k for k, v in OUTCOMES.items()}[outcome], f"result {txn.ref}"))
 
@@ -351,7 +357,7 @@
         self.report(txn, CallEnded({v: k for k, v in OUTCOMES.items()}[outcome], spent))
 
     def abandon(self, txn: Txn) -> None:
-        if txn.ref not in self.told:
+        if txn.ref not in self.received:
             self.gone.add(txn.ref)
             self.facade.cancel_answer(self.requests[txn.ref])
 
@@ -363,7 +369,7 @@
             self.now = self.facade.now()
             self.facade._apply_decisions()
             self.check()
-            assert not self.sink.codes("brain-fault") and not self.sink.codes("txn-fault")
+            assert not self.log.codes("brain-fault") and not self.log.codes("txn-fault")
         return []
 
     def apply(self, decision: Decision) -> None:
@@ -391,7 +397,7 @@
 
 
 class MemoryTransport(StringTransport):
-    """A transport in memory; the peer reads when `sent` is called."""
+    """An in-memory transport; the peer reads when `sent` is called."""
 
     no_delay = half_closed = False
     before_no_delay = b""
@@ -401,11 +407,11 @@
         self.before_no_delay = self.value()
 
     def loseWriteConnection(self) -> None:  # noqa: N802
-        """Our end of the stream; what the peer sends is read on."""
+        """Closes our direction only; data from the peer is still read."""
         self.half_closed = self.disconnecting = True
 
     def doRead(self) -> None:  # noqa: N802
-        """Nothing lies unread here: what arrives is told at once."""
+        """Does nothing: data is delivered as soon as it arrives."""
 
     def resumeProducing(self) -> None:  # noqa: N802
         self.producerState = "producing"
@@ -422,7 +428,7 @@
         self.reports: list[bytes] = []
 
     def listenTCP(self, *args: Any) -> Any:  # noqa: N802
-        """The listening socket as a drain sees it: nobody is in its backlog."""
+        """Returns a listening socket with an empty backlog."""
         return SimpleNamespace(
             socket=SimpleNamespace(listen=lambda most: None),
             doRead=lambda: None,
@@ -501,13 +507,13 @@
 
 
 class InstanceHarness:
-    """One instance, its sockets in memory, and the far ends of all of them."""
+    """One instance with in-memory sockets, and the peers of all of them."""
 
     def __init__(self, **changes: Any) -> None:
         self.reactor, self.log = Reactor(), RecordingLog()
         self.reactor.advance(100.0)
         setup = parse_setup(SAMPLE_CONFIG | changes)
-        self.file: dict[str, Any] = SAMPLE_CONFIG | changes  # what a reload finds
+        self.file: dict[str, Any] = SAMPLE_CONFIG | changes  # the configuration file that a reload reads
         self.instance = Instance(
             setup,
             self.reactor,
@@ -525,22 +531,22 @@
             self.reactor.advance(every)
 
     def connect(self, host: str) -> Any:
-        """The far end takes the newest connection that was opened to it."""
+        """Accepts the latest connection that the instance opened to this host."""
         self.reactor.advance(0)
-        at = max(i for i, client in enumerate(self.reactor.tcpClients) if client[0] == host)
-        protocol = self.reactor.tcpClients.pop(at)[2].buildProtocol(None)
+        index = max(i for i, client in enumerate(self.reactor.tcpClients) if client[0] == host)
+        protocol = self.reactor.tcpClients.pop(index)[2].buildProtocol(None)
         protocol.makeConnection(MemoryTransport())
         return protocol
 
     def boot(self, **more: Any) -> list[dict[str, Any]]:
-        """A new link to the kernel, up to the fence; what was sent before it."""
+        """Opens a new link to the kernel, up to the answer to the fence; returns the commands sent before."""
         self.link = self.connect("127.0.1.1")
-        first = self.commands()
+        commands = self.commands()
         self.tell(event="BOOTED", fate="warm", lasted=60_000)
         for notice in more.get("again", []):
             self.tell(**notice)
         self.tell(event="INFO", ticket="fence", figures=[0, 0, 0, 0])
-        return first
+        return commands
 
     def tell(self, **notice: Any) -> None:
         if "cursor" in notice and notice["cursor"] is None:
@@ -549,18 +555,18 @@
         self.link.dataReceived(orjson.dumps(notice) + b"\n")
 
     def commands(self) -> list[dict[str, Any]]:
-        """What the kernel was told, the gauges answered."""
+        """Returns the commands sent to the kernel, and answers queries for gauges."""
         self.reactor.advance(0)
-        heard = [orjson.loads(line) for line in self.link.transport.sent().splitlines()]
-        for command in heard:
+        commands = [orjson.loads(line) for line in self.link.transport.sent().splitlines()]
+        for command in commands:
             if command["event"] == "SYSINFO" and command["ticket"] != "fence":
                 self.tell(event="INFO", ticket=command["ticket"], figures=[0.5, 1, 0.1, 3])
-        return [command for command in heard if command["event"] != "SYSINFO"]
+        return [command for command in commands if command["event"] != "SYSINFO"]
 
     def caller(self) -> Any:
         connection = self.instance.callers.buildProtocol(None)
         transport = MemoryTransport()
-        if connection is None:  # closed at once, as the real port does
+        if connection is None:  # closed at once, as a real port does
             transport.abortConnection()
             connection = Protocol()
         connection.makeConnection(transport)
@@ -593,17 +599,17 @@
 
 
 class FakeKernel:
-    """The kernel's own books: runs go on without a link, notices are kept and told again."""
+    """A fake kernel: runs continue without a link; notices are kept and repeated on the next one."""
 
     def __init__(self, net: InstanceHarness) -> None:
         self.net, self.link, self.opened = net, None, False
         self.notices: list[dict[str, Any]] = []
-        self.state: dict[str, str] = {}  # by handle: runs, waits, over
+        self.state: dict[str, str] = {}  # by handle: "runs", "waits" or "over"
         self.started: list[str] = []
-        self.closed: set[str] = set()  # answered or given up
+        self.closed: set[str] = set()  # handles of txns that were answered or given up
 
     def connect(self) -> bool:
-        """Takes a new link, if one was asked for."""
+        """Accepts a new link, if the instance has requested one."""
         if self.link is not None or not any(c[0] == "127.0.1.1" for c in self.net.reactor.tcpClients):
             return False
         self.link = self.net.link = self.net.connect("127.0.1.1")
@@ -612,7 +618,7 @@
 
     def lose(self) -> None:
         if self.link is not None:
-            self.read()  # what was sent reached it, or some of it
+            self.read()  # what was sent has arrived
             link, self.link = self.link, None
             self.net.lose(link, clean=False)
 
@@ -636,7 +642,7 @@
         self.note(event="IOREQ", handle=handle, arg="Y2FsbA==")
 
     def over(self, handle: str) -> None:
-        """Its txn was answered or given up: a run that waits for a call ends there."""
+        """The txn was answered or given up: its run ends if it waits for a call."""
         self.closed.add(handle)
         if self.state.get(handle) == "waits":
             self.end(handle, "halted")
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -1,4 +1,4 @@
-"""Parsers and codecs: the same messages however bytes are split, and nothing that bytes can do to them."""
+"""Parsers and codecs: any chunking gives the same messages, and no input breaks them or fills memory."""
 
 import base64
 import json
@@ -19,8 +19,8 @@
 from limeridge.net import callers, kernel, ledger
 from limeridge.words import settings_of
 
-often = settings(derandomize=True, max_examples=150, deadline=None)
-cuts = st.lists(st.integers(1, 40), max_size=60)
+many_examples = settings(derandomize=True, max_examples=150, deadline=None)
+chunk_lengths = st.lists(st.integers(1, 40), max_size=60)
 json_values: Any = st.recursive(
     st.none() | st.booleans() | st.integers(-(1 << 60), 1 << 60) | st.floats() | st.text(max_size=8),
     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=4), inner, max_size=4),
@@ -28,27 +28,27 @@
 )
 
 
-def pieces(data: bytes, lengths: list[int]) -> list[bytes]:
-    """The data cut into the given lengths, the rest in one; cuts of one byte all along if there are none."""
+def chunks(data: bytes, lengths: list[int]) -> list[bytes]:
+    """Splits the data into chunks of the given lengths and the rest; into single bytes if there are none."""
     if not lengths:
         return [data[i : i + 1] for i in range(len(data))]
-    parts, at = [], 0
+    parts, start = [], 0
     for length in lengths:
-        parts.append(data[at : at + length])
-        at += length
-    return [*parts, data[at:]]
+        parts.append(data[start : start + length])
+        start += length
+    return [*parts, data[start:]]
 
 
-@often
-@given(bodies=st.lists(st.binary(max_size=60), max_size=6), lengths=cuts)
-def test_frames_come_out_whole_however_they_are_split(bodies: list[bytes], lengths: list[int]) -> None:
+@many_examples
+@given(bodies=st.lists(st.binary(max_size=60), max_size=6), lengths=chunk_lengths)
+def test_frames_are_parsed_from_any_chunks(bodies: list[bytes], lengths: list[int]) -> None:
     frames, out = callers.Frames(), []
-    for part in pieces(b"".join(map(callers.frame, bodies)), lengths):
+    for part in chunks(b"".join(map(callers.frame, bodies)), lengths):
         out += list(frames.feed(part))
     assert out == bodies and not frames.data
 
 
-@often
+@many_examples
 @given(
     parts=st.lists(
         st.binary(max_size=600)
@@ -58,7 +58,7 @@
         max_size=30,
     )
 )
-def test_no_bytes_break_the_frames_or_fill_their_buffer(parts: list[bytes]) -> None:
+def test_invalid_bytes_neither_break_the_frame_parser_nor_fill_its_buffer(parts: list[bytes]) -> None:
     frames = callers.Frames()
     try:
         for part in parts:
@@ -80,26 +80,26 @@
         (b"a" * 2000, "bad-head"),
     ],
 )
-def test_a_bad_head_is_told_by_its_code(head: bytes, code: str) -> None:
+def test_an_invalid_head_is_rejected_with_its_code(head: bytes, code: str) -> None:
     with pytest.raises(callers.BadFrame, match=code):
         list(callers.Frames().feed(head))
 
 
-@often
+@many_examples
 @given(
     lines=st.lists(
         st.binary(min_size=1, max_size=30).filter(lambda b: b"\n" not in b and b.strip()), max_size=8
     ),
-    lengths=cuts,
+    lengths=chunk_lengths,
 )
-def test_lines_come_out_whole_however_they_are_split(lines: list[bytes], lengths: list[int]) -> None:
+def test_lines_are_parsed_from_any_chunks(lines: list[bytes], lengths: list[int]) -> None:
     parser, out = kernel.LineParser(), []
-    for part in pieces(b"".join(line + b"\n" for line in lines), lengths):
+    for part in chunks(b"".join(line + b"\n" for line in lines), lengths):
         out += list(parser.feed(part))
     assert out == lines and not parser.data
 
 
-def test_a_line_without_an_end_does_not_fill_memory() -> None:
+def test_an_endless_line_does_not_fill_memory() -> None:
     parser = kernel.LineParser()
     with pytest.raises(kernel.BadLine):
         for _ in range(100):
@@ -107,25 +107,25 @@
     assert len(parser.data) <= kernel.MAX_LINE_BYTES + 1_000
 
 
-@often
+@many_examples
 @given(
     status=st.sampled_from([200, 500, 503, 504, 409]),
     body=st.binary(max_size=40),
     begun=st.booleans(),
-    lengths=cuts,
-    informed=st.booleans(),
+    lengths=chunk_lengths,
+    preceded_by_100=st.booleans(),
 )
-def test_replies_come_out_whole_however_they_are_split(
-    status: int, body: bytes, begun: bool, lengths: list[int], informed: bool
+def test_replies_are_parsed_from_any_chunks(
+    status: int, body: bytes, begun: bool, lengths: list[int], preceded_by_100: bool
 ) -> None:
-    reply = b"HTTP/1.1 100 Continue\r\n\r\n" * informed + b"HTTP/1.1 %d Some Reason\r\n" % status
+    reply = b"HTTP/1.1 100 Continue\r\n\r\n" * preceded_by_100 + b"HTTP/1.1 %d Some Reason\r\n" % status
     reply += (b"" if begun else b"op-not-begun: 1\r\n") + b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
     parser = ledger.ReplyParser()
-    out = [found for part in pieces(reply, lengths) if part and (found := parser.feed(part))]
+    out = [parsed for part in chunks(reply, lengths) if part and (parsed := parser.feed(part))]
     assert out == [(status, not begun, body)]
 
 
-@often
+@many_examples
 @given(
     parts=st.lists(
         st.binary(max_size=600)
@@ -142,7 +142,7 @@
         max_size=30,
     )
 )
-def test_no_bytes_break_the_replies_or_fill_their_buffer(parts: list[bytes]) -> None:
+def test_invalid_bytes_neither_break_the_reply_parser_nor_fill_its_buffer(parts: list[bytes]) -> None:
     replies = ledger.ReplyParser()
     try:
         for part in parts:
@@ -166,12 +166,12 @@
         (b"HTTP/1.1 302 Go", EndStatus.FAILED),
     ],
 )
-def test_a_reply_is_told_as_what_it_proves(reply: bytes, end: EndStatus) -> None:
-    found = ledger.ReplyParser().feed(reply + b"\r\nContent-Length: 0\r\n\r\n")
-    assert found is not None and ledger.call_end_status(found[0], found[1]) is end
+def test_a_reply_gives_only_the_status_that_it_proves(reply: bytes, end: EndStatus) -> None:
+    parsed = ledger.ReplyParser().feed(reply + b"\r\nContent-Length: 0\r\n\r\n")
+    assert parsed is not None and ledger.call_end_status(parsed[0], parsed[1]) is end
 
 
-@often
+@many_examples
 @given(
     value=json_values
     | st.fixed_dictionaries(
@@ -191,7 +191,7 @@
     assert isinstance(message, callers.Ask | callers.Revoke | callers.Heartbeat | callers.Fault)
 
 
-@often
+@many_examples
 @given(
     line=st.binary(max_size=60)
     | (
@@ -208,14 +208,14 @@
         )
     ).map(lambda v: json.dumps(v).encode())
 )
-def test_any_line_of_the_kernel_is_decoded_or_passed_over(line: bytes) -> None:
-    told = kernel.decode(line)
-    assert told is None or isinstance(
-        told, kernel.Booted | kernel.Notice | kernel.Gauges | kernel.Posted | kernel.Invalid
+def test_any_line_of_the_kernel_is_decoded_or_ignored(line: bytes) -> None:
+    message = kernel.decode(line)
+    assert message is None or isinstance(
+        message, kernel.Booted | kernel.Notice | kernel.Gauges | kernel.Posted | kernel.Invalid
     )
 
 
-def test_notices_are_decoded_once_into_news() -> None:
+def test_notices_are_decoded_into_events() -> None:
     assert kernel.decode(
         b'{"event":"REAP","cursor":3,"handle":"a","fate":"ok","lasted":2,"arg":"Zm9v"}'
     ) == kernel.Notice(3, "a", RunEnded(EndStatus.OK, "Zm9v"))
@@ -226,7 +226,7 @@
     assert kernel.decode(b'{"event":"REAP","cursor":3,"handle":"a","fate":"odd"}') is None
 
 
-def test_answers_carry_what_the_caller_is_to_know() -> None:
+def test_answers_are_encoded_with_all_fields_for_the_caller() -> None:
     def sent(answer: Answer) -> Any:
         [body] = callers.Frames().feed(callers.encode_answer(7, answer, 0.25))
         return orjson.loads(body)
@@ -243,21 +243,21 @@
 # ---- configuration
 
 
-def changed(path: str, value: object) -> dict[str, Any]:
-    """The sample with one key changed, or left out for None."""
+def with_changed(path: str, value: object) -> dict[str, Any]:
+    """Returns the sample with one key set to `value`, or removed if it is None."""
     sample: dict[str, Any] = json.loads(json.dumps(SAMPLE_CONFIG))
-    *way, last = path.split(".")
-    holder: Any = sample
-    for part in way:
-        holder = holder[int(part)] if part.isdecimal() else holder[part]
+    *parents, last = path.split(".")
+    parent: Any = sample
+    for part in parents:
+        parent = parent[int(part)] if part.isdecimal() else parent[part]
     key: Any = int(last) if last.isdecimal() else last
-    holder[key] = value
+    parent[key] = value
     if value is None:
-        del holder[key]
+        del parent[key]
     return sample
 
 
-def test_the_settings_give_the_map_that_the_simulators_first_message_gives() -> None:
+def test_the_settings_give_the_same_mapping_as_the_simulators_first_message() -> None:
     text = (
         "classes.count=2 classes.0.name=look classes.0.aim=1000000 classes.0.deadline=4000000 "
         "classes.0.idempotency=free classes.0.keyTtl=2000000 classes.0.worth=1.0 classes.1.name=book "
@@ -276,10 +276,10 @@
     )
     setup = parse_setup(SAMPLE_CONFIG)
     plain = setup.plain
-    told = settings_of((name, value) for name, _, value in (p.partition("=") for p in text.split()))
-    customers = {name: told.pop(name) for name in list(told) if name.startswith("customers.")}
-    assert plain == told
-    # Tenants stand in a table of their own, under the same numbers.
+    expected = settings_of((name, value) for name, _, value in (p.partition("=") for p in text.split()))
+    customers = {name: expected.pop(name) for name in list(expected) if name.startswith("customers.")}
+    assert plain == expected
+    # Tenants are kept in a separate table, under the same numbers.
     assert len(setup.tenants) == customers["customers.count"] == 1
     assert setup.tenants.find("acme west") == 0 and setup.tenants.name(0) == "acme west"
     assert setup.tenants.quota(0) == customers["customers.0.quota_per_s"]
@@ -310,13 +310,13 @@
         ("settings.familyInfo.classSkipWorth.1", "no"),
     ],
 )
-def test_bad_configuration_is_told_by_its_key(path: str, value: object) -> None:
-    with pytest.raises(ConfigError) as told:
-        parse_setup(changed(path, value))
-    assert str(told.value).startswith(path + ":") and "expected" in str(told.value)
+def test_invalid_configuration_is_reported_with_its_key(path: str, value: object) -> None:
+    with pytest.raises(ConfigError) as error:
+        parse_setup(with_changed(path, value))
+    assert str(error.value).startswith(path + ":") and "expected" in str(error.value)
 
 
-@often
+@many_examples
 @given(
     path=st.sampled_from(
         [
@@ -335,16 +335,16 @@
     ),
     value=json_values,
 )
-def test_any_value_is_taken_or_told(path: str, value: Any) -> None:
+def test_any_value_is_accepted_or_reported_in_one_line(path: str, value: Any) -> None:
     try:
-        parse_setup(changed(path, value))
-    except ConfigError as told:
-        assert "\n" not in str(told)
+        parse_setup(with_changed(path, value))
+    except ConfigError as error:
+        assert "\n" not in str(error)
 
 
-def test_bad_configuration_ends_the_program_with_one_line(tmp_path: Any) -> None:
-    (tmp_path / "bad").write_bytes(orjson.dumps(changed("settings.familyInfo.cpus", 0)))
-    done = subprocess.run(
+def test_invalid_configuration_ends_the_program_with_one_line(tmp_path: Any) -> None:
+    (tmp_path / "bad").write_bytes(orjson.dumps(with_changed("settings.familyInfo.cpus", 0)))
+    process = subprocess.run(
         [sys.executable, "-m", "limeridge"],
         cwd=Path(__file__).parent.parent,
         text=True,
@@ -353,11 +353,11 @@
         timeout=60,
         check=False,
     )
-    assert (done.returncode, done.stdout) == (2, "")
-    assert done.stderr == "limeridge: settings.familyInfo.cpus: expected a whole number from 1 to 100000\n"
+    assert (process.returncode, process.stdout) == (2, "")
+    assert process.stderr == "limeridge: settings.familyInfo.cpus: expected a whole number from 1 to 100000\n"
 
 
-def test_a_file_that_is_missing_or_no_json_is_told(tmp_path: Any) -> None:
+def test_a_missing_file_or_invalid_json_is_reported(tmp_path: Any) -> None:
     (tmp_path / "bad").write_bytes(b"{")
     (tmp_path / "good").write_bytes(orjson.dumps(SAMPLE_CONFIG | {"new": base64.b64encode(b"x").decode()}))
     assert read(str(tmp_path / "good")).stop == 3_200_000
--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -63,9 +63,9 @@
 def test_the_cap_starts_at_the_cores_and_grows_while_cores_are_free() -> None:
     host = BrainHost()
     first = host.submit_many(6)[0]
-    assert len(host.at(Stage.RUNNING)) == 2
+    assert len(host.in_stages(Stage.RUNNING)) == 2
     host.pass_time(150_000, busy=0.3, runnable=1)
-    assert len(host.at(Stage.RUNNING)) > 2 and first.ran
+    assert len(host.in_stages(Stage.RUNNING)) > 2 and first.ran
 
 
 def test_what_waits_past_the_target_over_an_interval_is_declined_from_the_front() -> None:
@@ -140,7 +140,7 @@
 def test_drain_runs_nothing_late_and_answers_all_before_the_stop() -> None:
     host = BrainHost()
     running = host.submit()
-    host.left = host.now
+    host.left_at = host.now
     host.brain.leave(host.now, 1_000_000)
     host.pass_time(400_000)
     assert verbs(host.seen, host.submit()) == [Verb.DECLINE]
@@ -218,7 +218,7 @@
     host.pass_time(1_000_000, busy=1.0, runnable=4)
     low = host.brain.welcome
     assert low < 0.9
-    for txn in host.at(Stage.RUNNING):
+    for txn in host.in_stages(Stage.RUNNING):
         host.finish(txn)
     host.submit()
     host.pass_time(2_000_000, busy=0.2, runnable=1)
@@ -281,7 +281,7 @@
         txn = host.submit()
         if txn.ran:
             host.block(txn)
-    assert (len(host.at(Stage.PARKED, Stage.CALLING)), len(host.at(Stage.HELD))) == (2, 6)
+    assert (len(host.in_stages(Stage.PARKED, Stage.CALLING)), len(host.in_stages(Stage.HELD))) == (2, 6)
 
 
 def test_a_try_that_came_too_late_says_nothing_of_the_load_here() -> None:
@@ -323,7 +323,7 @@
         host = BrainHost(instance__cores=4, **changes)
         for _ in range(12):
             host.submit(size_kb=25.0)
-        assert len(host.at(Stage.RUNNING)) == most
+        assert len(host.in_stages(Stage.RUNNING)) == most
 
 
 def test_a_run_keeps_its_approach_and_leaves_a_failed_call_out() -> None:
--- a/tests/test_resent_commands.py
+++ b/tests/test_resent_commands.py
@@ -1,16 +1,13 @@
-"""Commands that are sent again on a new link to the kernel, and what the run has gone on to meanwhile.
+"""Commands that are resent on a new link to the kernel, while their run has already moved on.
 
-What happens: `limeridge sim run 920` (1 of 10,000 seeds of `any`): a run is told to go on without a call
-that it has left behind. By the same way, seen here and not in the simulation, a request whose run goes on is
-answered as failed.
-
-Why: the kernel's answer to the fence and the next notice came in one piece, and the commands of before the
-break went out between reading the one and the other. Where the notice is a moment later, such a command is
-refused (EINVAL), and as the run's next notice had been read by then, the refusal was taken for that of its
-next command.
-
-What showed it: the trace of seed 920: the link changes at 0.726 s, the fence and `IOREQ` 6 are read in step
-563, and `NOIO` for call 4 is written in it; the reply to call 4 had been taken by the kernel.
+Guards against two failures. (1) A run was told to continue without a call that it had already left behind:
+the kernel's answer to the fence and the run's next notice arrived in one chunk, and the unconfirmed commands
+were resent between reading the two. Found by seed 920 of `limeridge sim run` (1 of 10,000 seeds of `any`):
+the link changes at 0.726 s, the fence and `IOREQ` 6 are read in step 563, and `NOIO` for call 4 is written in
+the same step, although the kernel had accepted the reply to call 4. (2) A request was answered as failed
+while its run continued: if that notice arrives a moment later, the resent command is refused (EINVAL), and
+the refusal was taken for that of the run's next command. Found by analysis of the first, not in the
+simulation.
 """
 
 from typing import Any
@@ -19,8 +16,8 @@
 from helpers import InstanceHarness
 
 
-def waiting() -> tuple[InstanceHarness, Any, str]:
-    """A request whose call was replied to, the reply written to a link that is then lost."""
+def start_with_lost_link() -> tuple[InstanceHarness, Any, str]:
+    """Returns a request whose call got its reply, after the link to which the reply was written was lost."""
     net = InstanceHarness()
     net.boot()
     caller = net.caller()
@@ -38,8 +35,8 @@
     return net, caller, ref
 
 
-def test_a_notice_that_comes_with_the_fence_is_read_before_commands_are_sent_again() -> None:
-    net, caller, ref = waiting()
+def test_a_notice_in_the_chunk_of_the_fence_is_read_before_commands_are_resent() -> None:
+    net, caller, ref = start_with_lost_link()
     net.commands()
     fence = orjson.dumps({"event": "INFO", "ticket": "fence", "figures": [0, 0, 0, 0]})
     notice = orjson.dumps({"event": "IOREQ", "cursor": 2, "handle": ref, "arg": "Y2FsbA=="})
@@ -48,26 +45,26 @@
     assert net.instance.kernel.ready and net.answers(caller) == []
 
 
-def test_a_refusal_of_what_was_sent_again_fails_no_run_that_has_gone_on() -> None:
-    net, caller, ref = waiting()
+def test_the_refusal_of_a_resent_command_does_not_fail_a_run_that_has_moved_on() -> None:
+    net, caller, ref = start_with_lost_link()
     net.tell(event="INFO", ticket="fence", figures=[0, 0, 0, 0])
     assert {"event": "NOIO", "handle": ref, "cursor": 1} in net.commands()
     net.cursor = 1
-    net.tell(event="IOREQ", cursor=None, handle=ref, arg="Y2FsbA==")  # written before the kernel read it
+    net.tell(event="IOREQ", cursor=None, handle=ref, arg="Y2FsbA==")  # sent before the kernel read the NOIO
     net.tell(event="EINVAL", fate="NOIO", handle=ref)
-    assert net.answers(caller) == [], "failed, though its run goes on"
+    assert net.answers(caller) == [], "answered as failed although its run continues"
     net.tell(event="REAP", cursor=None, handle=ref, fate="ok", lasted=5, arg="eA==")
     assert [a["result"]["doc"] for a in net.answers(caller)] == ["eA=="]
 
 
-def test_a_refusal_of_a_command_that_was_sent_once_still_ends_its_run() -> None:
-    """Also on a link that came anew: once the kernel has answered a question asked after it, nothing of what
-    was sent again is on its way any more."""
-    net, caller, ref = waiting()
+def test_the_refusal_of_a_command_that_was_sent_once_ends_its_run() -> None:
+    """Also on a new link: once the kernel has answered a query sent after the resent commands, refusals of
+    those can't arrive any more."""
+    net, caller, ref = start_with_lost_link()
     net.tell(event="INFO", ticket="fence", figures=[0, 0, 0, 0])
     net.cursor = 1
     net.tell(event="IOREQ", cursor=None, handle=ref, arg="Y2FsbA==")
     net.pass_time(0.2)
-    net.commands()  # the gauges are asked for and answered
+    net.commands()  # queries for gauges are answered
     net.tell(event="EINVAL", fate="IODONE", handle=ref)
     assert [a["error"]["code"] for a in net.answers(caller)] != []
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -41,16 +41,16 @@
             caller=chance.randrange(3),
             resent=chance.random() < 0.2,
         )
-    elif what < 0.65 and (running := host.at(Stage.RUNNING)):
+    elif what < 0.65 and (running := host.in_stages(Stage.RUNNING)):
         host.finish(chance.choice(running), chance.choice(CALL_ENDS[:3]))
-    elif what < 0.8 and (running := host.at(Stage.RUNNING)):
+    elif what < 0.8 and (running := host.in_stages(Stage.RUNNING)):
         host.request_call(chance.choice(running))
-    elif what < 0.92 and (calling := host.at(Stage.CALLING)):
+    elif what < 0.92 and (calling := host.in_stages(Stage.CALLING)):
         host.call_ends(chance.choice(calling), chance.choice(CALL_ENDS))
-    elif what < 0.94 and (around := host.at(Stage.HELD, Stage.PARKED, Stage.RUNNING)):
+    elif what < 0.94 and (around := host.in_stages(Stage.HELD, Stage.PARKED, Stage.RUNNING)):
         host.abandon(chance.choice(around))
     elif what < 0.97:
-        joined = [txn for txn in host.at(Stage.JOINED) if txn.prior and txn.prior.stage == Stage.OVER]
+        joined = [txn for txn in host.in_stages(Stage.JOINED) if txn.prior and txn.prior.stage == Stage.OVER]
         for txn in joined[:1]:
             host.finish(txn, Outcome.OK if txn.prior and txn.prior.settled else Outcome.ERROR)
 
@@ -65,16 +65,16 @@
     host, chance = kind(**changes), random.Random(seed)
     for number in range(260):
         if number == 200 and drain:
-            host.left, stop = host.now, host.now + drain
+            host.left_at, stop = host.now, host.now + drain
             host.leave(drain)
         for _ in range(chance.randrange(4)):
             step(host, chance)
-        for txn in host.at(Stage.PARKED, Stage.CALLING):
+        for txn in host.in_stages(Stage.PARKED, Stage.CALLING):
             if txn.answered:
                 host.finish(txn, Outcome.CANCELLED)
         host.apply_decisions()
         host.pass_time(chance.choice([5_000, 20_000, 90_000]), chance.random(), chance.randrange(12))
-        if host.left is not None and host.now >= stop - 100_000:
+        if host.left_at is not None and host.now >= stop - 100_000:
             assert all(host.over(txn) for txn in host.txns), "drain: unanswered at the stop"
             return
 
@@ -90,13 +90,13 @@
         before = set(host.calls)
         for _ in range(3):
             host.submit(patience=900_000)
-        for txn in host.at(Stage.RUNNING)[:4]:
+        for txn in host.in_stages(Stage.RUNNING)[:4]:
             host.request_call(txn)
         host.apply_decisions()
         if set(host.calls) - before:
             assert len(host.calls) <= share
             most = max(most, len(host.calls))
-        for txn in host.at(Stage.CALLING):
+        for txn in host.in_stages(Stage.CALLING):
             if chance.random() < 0.3:
                 host.call_ends(txn, Outcome.OK)
                 if txn.stage is Stage.RUNNING:
