--- a/limeridge/facade.py
+++ b/limeridge/facade.py
@@ -168,8 +168,8 @@
         self.settings, self.seed, self.clock, self.log, self.wake = dict(settings), seed, clock, log, wake
         self.gauges = [GAUGES.get(name, name) for name in str(settings.get("instance.gauges", "")).split(",")]
         self.healthy = False
-        self.value: float | None = None
-        self.idle_limit = int(settings.get("instance.idle", 0))
+        self.value: float | None = None  # free capacity, as published to callers
+        self.idle_limit = int(settings.get("instance.idle", 0))  # microseconds
         self.call_limit: int | None = None  # limit of open calls; None: as in the settings
         self.last_ref = 0
         self.open: dict[int, Entry] = {}
@@ -179,7 +179,7 @@
         self.prune_at = 256  # size of `keyed_entries` at which expired keys are removed
         self.results: OrderedDict[Entry, int] = OrderedDict()
         self.results_bytes, self.max_results_bytes = 0, max_results_bytes
-        self.timer: Any = None
+        self.timer: Any = None  # for the wake-up that the brain asked for last
         self.applying_decisions = False
         self.decision_timer: Any = None  # pending call of `_apply_decisions`
         self.changed_entries: deque[Entry] = deque()  # their handlers may have a step to take
--- a/limeridge/net/kernel.py
+++ b/limeridge/net/kernel.py
@@ -207,7 +207,7 @@
         self.fence_answered = False  # likewise, but the rest of the current chunk has not been read
         self.booted = False
         self.cursor = 0
-        self.retried_gap_end = 0  # cursor after a gap for which the link was reopened
+        self.retried_gap_end = 0  # cursor after a gap; if it shows again on a new link, its notices are lost
         self.delay = RECONNECT_DELAYS_S[0]
         self.stopping = False
         self.attempt: ConnectAttempt | None = None  # attempt in progress
@@ -268,10 +268,11 @@
         return self._query("SYSINFO", time_out_s, None)
 
     def run_deep_check(self, time_out_s: float) -> Deferred[bool]:
-        """Whether the kernel carries out a test run within the time-out."""
+        """Whether the kernel does the work of a deep health check within the time-out."""
         return self._query("POST", time_out_s, False)
 
     def discard(self, ref: str) -> None:
+        """Drops the pending command of a txn whose handling has ended."""
         self.unconfirmed.pop(ref, None)
         self.resent.discard(ref)
 
