--- a/limeridge/net/callers.py
+++ b/limeridge/net/callers.py
@@ -24,7 +24,7 @@
 from zope.interface import implementer  # type: ignore[import-untyped]
 
 from limeridge.configuration.tenants import TenantTable
-from limeridge.facade import Answer, Intake, Kind
+from limeridge.facade import Answer, AnswerKind, Request
 from limeridge.net.admission_filter import block_new_connections
 from limeridge.net.log import Log
 
@@ -274,15 +274,15 @@
 
 def encode_answer(number: int, answer: Answer, value: float | None) -> bytes:
     data = value_data(value)
-    if answer.kind is Kind.SETTLED:
+    if answer.kind is AnswerKind.SETTLED:
         return encode_frame(
             orjson.dumps({"jsonrpc": "2.0", "id": number, "result": {"doc": answer.doc} | data})
         )
-    if answer.kind is Kind.VOIDED:
+    if answer.kind is AnswerKind.VOIDED:
         return encode_error(number, VOIDED, answer.why or "failed", data)
-    if answer.come_back > 0:
-        data["w"] = answer.come_back / 1_000
-    if answer.not_elsewhere:
+    if answer.retry_after_us > 0:
+        data["w"] = answer.retry_after_us / 1_000
+    if answer.no_failover:
         data["l"] = 1
     return encode_error(number, DECLINED, answer.why or "turned away", data)
 
@@ -302,8 +302,8 @@
 
     stopped_accepting: bool  # while draining, once the listening socket is closed
 
-    def serve(self, intake: Intake) -> None: ...
-    def withdraw(self, intake: Intake) -> None: ...
+    def serve(self, request: Request) -> None: ...
+    def withdraw(self, request: Request) -> None: ...
     def value(self) -> float | None: ...
     def idle_limit(self) -> int: ...
     def check(self, deep: bool, answer: Callable[[bool], None]) -> None: ...
@@ -318,7 +318,7 @@
     def __init__(self, callers: Callers) -> None:
         self.callers = callers
         self.frames = FrameParser()
-        self.open_txns: dict[int, Intake] = {}
+        self.open_txns: dict[int, Request] = {}
         self.seen_ids: dict[int, None] = {}
         self.backlog: list[bytes] = []  # answers that the transport does not accept yet
         self.backlog_size = 0
@@ -418,7 +418,7 @@
                 )
             case Revoke(number, ref):
                 if number not in self.open_txns:
-                    number = next((n for n, intake in self.open_txns.items() if intake.ref == ref), 0)
+                    number = next((n for n, request in self.open_txns.items() if request.ref == ref), 0)
                 if number in self.open_txns:
                     self.callers.service.withdraw(self.open_txns.pop(number))
                     self.consecutive_revokes += 1
@@ -434,45 +434,45 @@
         self.send(encode_error(None if number in self.open_txns else number, code, why, {}))
         self.add_errors(2)
 
-    def receive_txn(self, request: TxnRequest) -> None:
-        if request.id in self.seen_ids:
+    def receive_txn(self, message: TxnRequest) -> None:
+        if message.id in self.seen_ids:
             self.reject_message(None, INVALID_REQUEST, "id used twice")
             return
-        self.seen_ids[request.id] = None
+        self.seen_ids[message.id] = None
         if len(self.seen_ids) > MAX_REMEMBERED_IDS:
             del self.seen_ids[next(iter(self.seen_ids))]
         if len(self.open_txns) >= MAX_OPEN_TXNS:
-            self.reject_message(request.id, INVALID_REQUEST, f"more than {MAX_OPEN_TXNS} open")
+            self.reject_message(message.id, INVALID_REQUEST, f"more than {MAX_OPEN_TXNS} open")
             return
         self.txn_count += 1
         # The caller's Unix time and ours may differ or step, so the age is kept within the request's timeout.
-        age = min(max(0.0, self.callers.unix() * 1_000 - request.sent_at_ms), request.timeout_ms or 60_000.0)
-        intake = Intake(
-            request.ref,
-            request.entry,
-            request.product,
-            request.customer,
-            request.caller,
+        age = min(max(0.0, self.callers.unix() * 1_000 - message.sent_at_ms), message.timeout_ms or 60_000.0)
+        request = Request(
+            message.ref,
+            message.entry,
+            message.product,
+            message.customer,
+            message.caller,
             int(age * 1_000),
-            max(0, int((request.timeout_ms - age) * 1_000)),
-            request.size_kb,
-            request.doc,
-            lambda answer: self.send_answer(request.id, answer),
-            request.resent,
-            int(request.expected_work_ms * 1_000),
-            request.key,
+            max(0, int((message.timeout_ms - age) * 1_000)),
+            message.size_kb,
+            message.doc,
+            lambda answer: self.send_answer(message.id, answer),
+            message.resent,
+            int(message.expected_work_ms * 1_000),
+            message.key,
         )
-        self.open_txns[request.id] = intake
+        self.open_txns[message.id] = request
         self.callers.awaiting_first_request.pop(self, None)
-        self.callers.admit(intake)
+        self.callers.admit(request)
 
     def send_answer(self, number: int, answer: Answer) -> None:
         if self.open_txns.pop(number, None) is not None:
             self.last_active_at = self.callers.clock.seconds()
             self.send(encode_answer(number, answer, self.callers.service.value()))
-            if answer.kind is Kind.SETTLED:
+            if answer.kind is AnswerKind.SETTLED:
                 self.error_score = self.consecutive_revokes = 0
-            elif answer.kind is Kind.VOIDED:
+            elif answer.kind is AnswerKind.VOIDED:
                 self.add_errors(1)
             if self.stop_code and not self.open_txns:
                 self.close(self.stop_code)
@@ -522,8 +522,8 @@
                 self.end_code = self.callers.end_code_after_farewell(self)
         unanswered, self.open_txns = list(self.open_txns.values()), {}
         self.callers.on_closed(self, len(unanswered))
-        for intake in unanswered:
-            self.callers.service.withdraw(intake)
+        for request in unanswered:
+            self.callers.service.withdraw(request)
 
     # Answers to a peer that does not read are buffered here, where they are bounded, not in the transport.
 
@@ -718,17 +718,17 @@
             "connection-end", connection.end_code, asked=connection.txn_count, unanswered=unanswered
         )
 
-    def admit(self, intake: Intake) -> None:
+    def admit(self, request: Request) -> None:
         """Passes the txn on, or declines it if the documents of open txns take too much memory."""
-        if self.held_bytes + txn_memory_bytes(intake) > self.max_held_bytes:
+        if self.held_bytes + txn_memory_bytes(request) > self.max_held_bytes:
             self.log.event("turned-away", "held-bodies")
-            intake.answer(Answer(Kind.DECLINED, why="no memory"))
+            request.answer(Answer(AnswerKind.DECLINED, why="no memory"))
             return
-        self.held_bytes += txn_memory_bytes(intake)
-        self.service.serve(intake)
+        self.held_bytes += txn_memory_bytes(request)
+        self.service.serve(request)
 
-    def release(self, intake: Intake) -> None:
-        self.held_bytes -= txn_memory_bytes(intake)
+    def release(self, request: Request) -> None:
+        self.held_bytes -= txn_memory_bytes(request)
 
     def sweep(self) -> None:
         """Sends a farewell to connections past the idle limit, and closes those that time out. A peer that
@@ -769,9 +769,9 @@
             connection.close("drain")
 
 
-def txn_memory_bytes(intake: Intake) -> int:
+def txn_memory_bytes(request: Request) -> int:
     """The estimated memory of an open txn."""
-    return len(intake.doc) + TXN_OVERHEAD_BYTES
+    return len(request.doc) + TXN_OVERHEAD_BYTES
 
 
 class RejectedConnection(Wire):
--- a/limeridge/net/service.py
+++ b/limeridge/net/service.py
@@ -25,28 +25,28 @@
 from twisted.python.failure import Failure
 
 from limeridge import __version__
-from limeridge.config import Setup, Unusable
+from limeridge.config import ConfigError, Setup
 from limeridge.configuration.application import FIXED_FOR_MEMBERS, plan_revision
 from limeridge.configuration.reading import Steps, run_turn
 from limeridge.facade import (
-    RESULTS_KEPT,
+    MAX_RESULTS_BYTES,
     Answer,
-    Blocked,
-    Called,
-    Do,
-    End,
-    Ended,
+    AnswerKind,
+    CallEnded,
+    EndStatus,
     Facade,
-    Intake,
-    Kind,
-    News,
+    NextAction,
+    Request,
+    RunBlocked,
+    RunEnded,
+    RunEvent,
     Step,
 )
 from limeridge.net.callers import SWEEP_INTERVAL_S, Callers, Decoder, close_listener
 from limeridge.net.kernel import Kernel
 from limeridge.net.ledger import Call, Gate, Ledger
 from limeridge.net.log import Log
-from limeridge.net.nodelist import EVERY, NodeList
+from limeridge.net.nodelist import REPORT_INTERVAL_S, NodeList
 
 GAUGE_TIMEOUT_S = 0.02  # answers close to their due time can't wait longer for a tick's gauges
 OVERDUE_CHECK_INTERVAL_S = 0.05  # between two checks for txns past their due time
@@ -84,20 +84,20 @@
 class Job:
     """An open txn, with the queue of events for its handler."""
 
-    def __init__(self, intake: Intake, may_skip_calls: bool) -> None:
-        self.intake = intake
+    def __init__(self, request: Request, may_skip_calls: bool) -> None:
+        self.request = request
         self.may_skip_calls = may_skip_calls  # under the configuration revision at its arrival
-        self.events: deque[News] = deque()
-        self.waiting_handler: Deferred[News] | None = None
+        self.events: deque[RunEvent] = deque()
+        self.waiting_handler: Deferred[RunEvent] | None = None
         self.call: Call | None = None
-        self.blocked: Blocked | None = None
+        self.blocked: RunBlocked | None = None
 
-    def next_event(self) -> Deferred[News]:
+    def next_event(self) -> Deferred[RunEvent]:
         """The next event; only to be called while the queue is empty."""
         self.waiting_handler = Deferred()
         return self.waiting_handler
 
-    def deliver(self, news: News) -> bool:
+    def deliver(self, news: RunEvent) -> bool:
         """Passes the event to the handler; False if it is queued because the handler waits for something
         else."""
         waiting_handler, self.waiting_handler = self.waiting_handler, None
@@ -136,7 +136,7 @@
             reactor,
             log,
             self.run_tick,
-            min(RESULTS_KEPT, memory_bytes // 8),
+            min(MAX_RESULTS_BYTES, memory_bytes // 8),
             setup.tenants.quota,
         )
         # Descriptors: more than half for callers, and a reserve that keeps room for the link to the kernel.
@@ -169,7 +169,7 @@
         share = peers.share()
         if share is not None:
             self.ledger.gate = peers.gate
-            self.facade.allow(share)
+            self.facade.set_call_limit(share)
 
     def start(self) -> None:
         setup = self.setup
@@ -194,7 +194,7 @@
             self.run_guarded(self.peers.start)
         for call, interval_s in (
             (self.callers.sweep, SWEEP_INTERVAL_S),
-            (self.report, EVERY),
+            (self.report, REPORT_INTERVAL_S),
             (self.check_overdue, OVERDUE_CHECK_INTERVAL_S),
         ):
             self.call_every(call, interval_s)
@@ -262,75 +262,75 @@
 
     # ---- txns
 
-    def serve(self, intake: Intake) -> None:
-        if intake.ref in self.jobs:
+    def serve(self, request: Request) -> None:
+        if request.ref in self.jobs:
             self.log.event("bad-message", "ref in use")
-            intake.answer(Answer(Kind.VOIDED, why="ref in use"))
-            self.callers.release(intake)
+            request.answer(Answer(AnswerKind.VOIDED, why="ref in use"))
+            self.callers.release(request)
             return
-        job = self.jobs[intake.ref] = Job(intake, self.skippable_calls[intake.product])
+        job = self.jobs[request.ref] = Job(request, self.skippable_calls[request.product])
         ensureDeferred(self.handle(job)).addErrback(self.log_failure, "txn-fault")
 
     async def handle(self, job: Job) -> None:
-        intake, step = job.intake, None
+        request, step = job.request, None
         try:
             while True:
                 try:
                     step = await self.next_step(job, step)
-                    if step.do is Do.DONE:
+                    if step.action is NextAction.DONE:
                         return
                     self.execute_step(job, step)
                 except Exception as error:
-                    self.log.fault("txn-fault", error, ref=intake.ref)
-                    step = self.facade.give_up(intake, "defect")
-                    if step.do is Do.DONE:
+                    self.log.fault("txn-fault", error, ref=request.ref)
+                    step = self.facade.abort(request, "defect")
+                    if step.action is NextAction.DONE:
                         return
         finally:
             if job.call is not None:
                 job.call.abandon()
-            self.jobs.pop(intake.ref, None)
-            self.kernel.over(intake.ref)
-            self.callers.release(intake)
+            self.jobs.pop(request.ref, None)
+            self.kernel.discard(request.ref)
+            self.callers.release(request)
 
     async def next_step(self, job: Job, step: Step | None) -> Step:
         if step is None:
-            return await self.facade.pick(job.intake)
+            return await self.facade.submit(job.request)
         news = job.events.popleft() if job.events else await job.next_event()
-        if isinstance(news, Called) and news.end is End.OK:
+        if isinstance(news, CallEnded) and news.end is EndStatus.OK:
             self.forward_reply(job, news.body)
-        elif isinstance(news, Blocked):
+        elif isinstance(news, RunBlocked):
             job.blocked = news
-        return await self.facade.report(job.intake, news)
+        return await self.facade.report(job.request, news)
 
     def forward_reply(self, job: Job, body: bytes) -> None:
         if job.blocked is not None:
-            self.kernel.reply(job.intake.ref, body, job.blocked.cursor, job.may_skip_calls)
+            self.kernel.reply(job.request.ref, body, job.blocked.cursor, job.may_skip_calls)
 
     def execute_step(self, job: Job, step: Step) -> None:
-        intake = job.intake
-        if step.do is Do.RUN:
-            self.kernel.start(intake.ref, intake.entry, intake.doc)
-        elif step.do is Do.CALL and job.blocked is not None:
-            job.call = self.ledger.call(intake.ref, step.time_out, job.blocked.body)
+        request = job.request
+        if step.action is NextAction.RUN:
+            self.kernel.start(request.ref, request.product_name, request.doc)
+        elif step.action is NextAction.CALL and job.blocked is not None:
+            job.call = self.ledger.call(request.ref, step.time_out_us, job.blocked.body)
             job.call.done.addCallback(lambda called: self.deliver(job, called))
-        elif step.do is Do.GO_ON and job.blocked is not None:
-            self.kernel.go_on(intake.ref, job.blocked.cursor)
+        elif step.action is NextAction.SKIP_CALL and job.blocked is not None:
+            self.kernel.skip_call(request.ref, job.blocked.cursor)
 
-    def deliver(self, job: Job, news: News) -> None:
+    def deliver(self, job: Job, news: RunEvent) -> None:
         if not job.deliver(news):
-            self.facade.interrupt(job.intake)
+            self.facade.interrupt(job.request)
 
-    def withdraw(self, intake: Intake) -> None:
-        self.facade.gone(intake)
+    def withdraw(self, request: Request) -> None:
+        self.facade.cancel_answer(request)
 
     # ---- events from the kernel
 
-    def booted(self, cold: bool, ago: int) -> None:
-        self.facade.boot(cold, ago)
+    def on_kernel_boot(self, cold: bool, ago: int) -> None:
+        self.facade.handle_kernel_boot(cold, ago)
 
-    def heard(self, ref: str, news: Ended | Blocked) -> bool:
+    def on_run_event(self, ref: str, news: RunEnded | RunBlocked) -> bool:
         job = self.jobs.get(ref)
-        if isinstance(news, Ended) and news.end is End.OK:
+        if isinstance(news, RunEnded) and news.end is EndStatus.OK:
             self.run_succeeded = True
         if job is not None:
             self.deliver(job, news)
@@ -347,12 +347,12 @@
     def check(self, deep: bool, answer: Callable[[bool], None]) -> None:
         """Answers a health check from known state. A deep check runs a probe in the kernel, unless a run has
         succeeded since the previous deep check."""
-        ready = self.facade.healthy and self.kernel.present and not self.draining
+        ready = self.facade.healthy and self.kernel.is_available and not self.draining
         if not deep or not ready or self.run_succeeded or not self.kernel.ready:
             self.run_succeeded = self.run_succeeded and not deep
             answer(ready)
         else:
-            self.kernel.prove(DEEP_CHECK_TIMEOUT_S).addCallback(answer)
+            self.kernel.run_deep_check(DEEP_CHECK_TIMEOUT_S).addCallback(answer)
 
     # ---- timers
 
@@ -364,18 +364,18 @@
         """Gives the brain the current share of calls to plan with; the gate enforces it at each call."""
         share = None if self.peers is None else self.peers.share()
         if share is not None:
-            self.facade.allow(share)
+            self.facade.set_call_limit(share)
 
     def run_tick(self) -> None:
         self.update_share()
-        self.kernel.gauges(GAUGE_TIMEOUT_S).addCallback(
+        self.kernel.read_gauges(GAUGE_TIMEOUT_S).addCallback(
             lambda figures: self.facade.tick(self.facade.now(), figures)
         ).addErrback(self.log_failure, "tick-fault")
 
     def report(self) -> None:
         if self.node_list.transport is None:
             self.open_report_socket()
-        if self.kernel.present and not self.draining:  # without its kernel it can run nothing
+        if self.kernel.is_available and not self.draining:  # without its kernel it can run nothing
             self.node_list.report(self.facade.healthy)
 
     # ---- configuration reload
@@ -393,7 +393,7 @@
             return
         try:
             new = run_turn(self.pending_load)
-        except Unusable as unusable:
+        except ConfigError as unusable:
             self.pending_load = None
             self.log.event("reload", "unusable", why=" ".join(str(unusable).split()), tries_left=retries_left)
             if retries_left:
@@ -432,7 +432,7 @@
         clients: dict[str, Any] = {"kernel": self.kernel, "ledger": self.ledger, "node_list": self.node_list}
         for name in revision.moved:
             client, address = clients[name], getattr(setup, name)
-            self.run_guarded(partial(client.move, address.host, address.port))
+            self.run_guarded(partial(client.set_address, address.host, address.port))
         self.run_guarded(self.report)
 
     # ---- drain
@@ -532,7 +532,7 @@
         if self.peers is not None:
             self.run_guarded(self.peers.stop)
         self.kernel.stop()
-        self.log.close_span()
+        self.log.close_window()
         self.reactor.callLater(0, self.reactor.stop)
 
 
@@ -543,7 +543,7 @@
 
 
 def run(setup: Setup, read_setup: ReadSetup, peers: Callable[[Setup, Any, Log], Peers] | None = None) -> int:
-    """Runs an instance until it exits. `peers` makes the membership component; it raises Unusable if its
+    """Runs an instance until it exits. `peers` makes the membership component; it raises ConfigError if its
     settings don't fit the instance's."""
     from twisted.internet import reactor as the_reactor
 
--- a/limeridge/sim/world.py
+++ b/limeridge/sim/world.py
@@ -171,7 +171,7 @@
         )
         self.reactor = Reactor(world.network, self.life, self.fault, tap, plan.sockets)
         self.reactor.stopped = self.exited
-        log = Log(self.name, clock=self.reactor.seconds, unix=self.unix, write=self.logged)
+        log = Log(self.name, clock=self.reactor.seconds, wall_clock=self.unix, write=self.logged)
 
         def reread(before: Any, now: int) -> Any:
             return reading("config", lambda _: [self.file], before, now)
@@ -1011,9 +1011,9 @@
             "jobs": len(instance.jobs),
             "open txns": len(facade.open),
             "refs": len(facade.by_ref),
-            "commands": len(instance.kernel.uncarried),
+            "commands": len(instance.kernel.unconfirmed),
             "commands sent again": len(instance.kernel.resent),
-            "questions to the kernel": max(0, len(instance.kernel.asked) - 2),
+            "questions to the kernel": max(0, len(instance.kernel.pending_queries) - 2),
             "calls": instance.ledger.connections,
             "waiting calls": sum(not call.over for call in instance.ledger.waiting),
             "bytes held": instance.callers.held_bytes,
@@ -1029,7 +1029,7 @@
             "strangers": max(
                 0, len(instance.callers.awaiting_first_request) - len(instance.callers.connections)
             ),
-            "keys": max(0, len(facade.keyed) - max(facade.prune_at, 512)),
+            "keys": max(0, len(facade.keyed_entries) - max(facade.prune_at, 512)),
         }
         return ", ".join(f"{name}: {count}" for name, count in counts.items() if count)
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,5 +1,5 @@
-"""Stand-ins: a host that makes legal events for one brain and checks the four rules after every step, the
-same through the facade, and the far ends of an instance's sockets in memory."""
+"""Test doubles: a host that feeds valid events to a brain and checks its rules after every step, the same
+host with the facade in between, and in-memory peers for all sockets of an instance."""
 
 import time
 from collections.abc import Callable
@@ -15,16 +15,16 @@
 from twisted.python.failure import Failure
 
 from limeridge.brain import Brain
-from limeridge.config import reading, setup_of
-from limeridge.facade import OUTCOMES, Answer, Blocked, Called, Ended, Facade, Intake, Kind
+from limeridge.config import parse_setup, reading
+from limeridge.facade import OUTCOMES, Answer, AnswerKind, CallEnded, Facade, Request, RunBlocked, RunEnded
 from limeridge.interface import Decision, Outcome, Stage, Txn, Verb
 from limeridge.net.callers import FrameParser, encode_frame
 from limeridge.net.service import Instance
 
-MOST = 30.0  # seconds that a condition may take, however slow the machine
-START = 5_000_000
-SLACK = 60_000
-PLAIN = {
+MAX_WAIT_S = 30.0  # for a condition to hold, also on a slow machine
+START_US = 5_000_000
+SLACK_US = 60_000
+BRAIN_SETTINGS = {
     "products.count": 1,
     "products.0.sla_time": 1_000_000,
     "products.0.expiry": 4_000_000,
@@ -49,7 +49,7 @@
     "rules.overload_factor": 4.0,
     "rules.cold_from": 0.25,
     "rules.ramp_time": 10_000_000,
-    "rules.answer_slack": SLACK,
+    "rules.answer_slack": SLACK_US,
     "round": 5_000,
     "limits.advice": True,
     "limits.come_back_after": 1_000_000,
@@ -57,35 +57,40 @@
 }
 
 
-def until(what: str, held: Callable[[], bool], most: float = MOST) -> None:
-    end = time.monotonic() + most
-    while not held():
-        assert time.monotonic() < end, f"not within {most:g} s: {what}"
+def until(what: str, condition: Callable[[], bool], max_wait_s: float = MAX_WAIT_S) -> None:
+    deadline = time.monotonic() + max_wait_s
+    while not condition():
+        assert time.monotonic() < deadline, f"not within {max_wait_s:g} s: {what}"
         time.sleep(0.05)
 
 
-class Host:
+class BrainHost:
+    """Feeds events to a brain, applies its decisions and checks the rules; time is simulated."""
+
     def __init__(self, **changes: object) -> None:
-        self.settings: dict[str, Any] = PLAIN | {key.replace("__", "."): changes[key] for key in changes}
-        self.now = self.born = START
-        self.brain = Brain(self.settings, 7, START)
+        self.settings: dict[str, Any] = BRAIN_SETTINGS | {
+            key.replace("__", "."): changes[key] for key in changes
+        }
+        self.now = self.started_at = START_US
+        self.brain = Brain(self.settings, 7, START_US)
         self.txns: list[Txn] = []
         self.answers: dict[int, Verb | Outcome] = {}
         self.gone: set[int] = set()
+        # Attempts by key, with the time until which they are kept: earlier ones, and the latest.
         self.ended: dict[str, list[tuple[Txn, int]]] = {}
         self.round: dict[str, Txn] = {}
         self.keys: dict[int, str] = {}
         self.table: dict[str, tuple[Txn, int]] = {}
         self.ran: dict[str, list[int]] = {}
-        self.calls: dict[int, tuple[int, int]] = {}  # out: begin, time-out
+        self.calls: dict[int, tuple[int, int]] = {}  # open calls: start, time-out
         self.call_log: list[tuple[int, int]] = []
         self.last_call: dict[int, Outcome] = {}
         self.wakes: list[int] = []
-        self.left: int | None = None
+        self.left_at: int | None = None
         self.seen: list[Decision] = []
-        self.pull()
+        self.apply_decisions()
 
-    def at(self, *stages: Stage) -> list[Txn]:
+    def in_stages(self, *stages: Stage) -> list[Txn]:
         return [txn for txn in self.txns if txn.stage in stages]
 
     # ---- events
@@ -95,31 +100,31 @@
         entries = [e for e in (*self.ended.get(key, []), self.table.get(key)) if key and e and e[1] > landed]
         prior = next((txn for txn, _ in entries if txn.ran), entries[-1][0] if entries else None)
         if prior is None and key:
-            prior = self.round.get(key)  # two read in one round see each other, kept or not
+            prior = self.round.get(key)  # attempts read in the same round find each other, kept or not
         ref = len(self.txns) + 1
-        told = {"max_wait": 3_000_000, "size_kb": 20.0, "prior": prior, "repeat": prior is not None} | more
-        txn = self.brain.on_txn_arrived(self.now, ref, product, age=age, **told)
+        fields = {"max_wait": 3_000_000, "size_kb": 20.0, "prior": prior, "repeat": prior is not None} | more
+        txn = self.brain.on_txn_arrived(self.now, ref, product, age=age, **fields)
         self.keys[ref] = key or f"own-{ref}"
         self.txns.append(txn)
         self.round[key] = txn
         return txn
 
-    def take(self, **how: Any) -> Txn:
+    def submit(self, **how: Any) -> Txn:
         txn = self.read(**how)
-        self.pull()
+        self.apply_decisions()
         return txn
 
-    def crowd(self, count: int) -> list[Txn]:
+    def submit_many(self, count: int) -> list[Txn]:
         txns = [self.read() for _ in range(count)]
-        self.pull()
+        self.apply_decisions()
         return txns
 
-    def needs(self, txn: Txn) -> None:
+    def request_call(self, txn: Txn) -> None:
         self.brain.on_call_needed(self.now, txn)
 
     def block(self, txn: Txn) -> list[Decision]:
-        self.needs(txn)
-        return self.pull()
+        self.request_call(txn)
+        return self.apply_decisions()
 
     def finish(self, txn: Txn, outcome: Outcome = Outcome.OK) -> None:
         joined = txn.stage == Stage.JOINED
@@ -130,7 +135,7 @@
         if outcome in (Outcome.OK, Outcome.ERROR):
             self.answers.setdefault(txn.ref, outcome)
 
-    def go(self, txn: Txn) -> None:
+    def abandon(self, txn: Txn) -> None:
         self.gone.add(txn.ref)
         self.brain.on_caller_gone(self.now, txn)
 
@@ -150,31 +155,31 @@
     def pass_time(self, us: int, busy: float = 0.5, runnable: float = 1.0) -> None:
         until = self.now + us
         while self.now < until:
-            told = False
+            changed = False
             out = [(begin + limit, ref) for ref, (begin, limit) in self.calls.items()]
             self.now = min([until, *self.wakes, *(end for end, _ in out)])
             if self.now in self.wakes:
                 self.wakes.remove(self.now)
-                told = True
+                changed = True
                 self.brain.on_wake(self.now, 1, {"busy": busy, "runnable": runnable})
             for end, ref in out:
                 if end <= self.now:
-                    told = True
+                    changed = True
                     self.call_ends(self.txns[ref - 1], Outcome.TIMEOUT)
-            if told:
-                self.pull()
+            if changed:
+                self.apply_decisions()
 
-    # ---- decisions, and the rules
+    # ---- decisions and the rules
 
-    def pull(self) -> list[Decision]:
-        fresh = []
+    def apply_decisions(self) -> list[Decision]:
+        decisions = []
         while (decision := self.brain.decide()) is not None:
             self.apply(decision)
-            fresh.append(decision)
-        self.seen += fresh
+            decisions.append(decision)
+        self.seen += decisions
         self.round.clear()
         self.check()
-        return fresh
+        return decisions
 
     def apply(self, decision: Decision) -> None:
         verb, txn = decision.verb, decision.txn
@@ -188,17 +193,17 @@
             assert txn is not None and txn.ref in self.answers
             self.finish(txn, Outcome.CANCELLED)
         elif txn is not None:
-            self.act_on(verb, txn, decision)
+            self.apply_to_txn(verb, txn, decision)
 
-    def act_on(self, verb: Verb, txn: Txn, decision: Decision) -> None:
+    def apply_to_txn(self, verb: Verb, txn: Txn, decision: Decision) -> None:
         key, careful = self.keys[txn.ref], self.settings[f"products.{txn.product}.kind"] != "inquiry-like"
         window = self.settings[f"products.{txn.product}.window"]
         if verb == Verb.RUN:
             runs = self.ran.setdefault(key, [])
             assert not careful or all(txn.arrived_at >= landed + window for landed in runs), "duplicate"
-            assert self.left is None or txn.arrived_at <= self.left + self.settings["rules.drain_grace"], (
-                "drain"
-            )
+            assert (
+                self.left_at is None or txn.arrived_at <= self.left_at + self.settings["rules.drain_grace"]
+            ), "drain"
             runs.append(txn.arrived_at)
         elif verb in (Verb.DECLINE, Verb.VOID):
             assert txn.ref not in self.answers, "two answers"
@@ -226,14 +231,14 @@
     def check(self) -> None:
         get = self.settings.__getitem__
         for txn in self.txns:
-            assert self.over(txn) or self.now <= txn.due + SLACK, "lost"
+            assert self.over(txn) or self.now <= txn.due + SLACK_US, "lost"
         assert len(self.wakes) <= 1
         begin = get("rules.cold_from") if get("instance.cold") else 1.0
-        speed = min(1.0, begin + (1 - begin) * (self.now - self.born) / get("rules.ramp_time"))
+        speed = min(1.0, begin + (1 - begin) * (self.now - self.started_at) / get("rules.ramp_time"))
         crowd = (1 + (get("rules.overload_factor") - 1) * speed) * get("instance.cores")
-        assert len(self.at(Stage.RUNNING)) <= crowd, "fall-over: crowd"
-        memory = sum(txn.size_kb for txn in self.at(Stage.HELD, Stage.JOINED))
-        running = sum(txn.size_kb for txn in self.at(Stage.RUNNING, Stage.PARKED, Stage.CALLING))
+        assert len(self.in_stages(Stage.RUNNING)) <= crowd, "fall-over: crowd"
+        memory = sum(txn.size_kb for txn in self.in_stages(Stage.HELD, Stage.JOINED))
+        running = sum(txn.size_kb for txn in self.in_stages(Stage.RUNNING, Stage.PARKED, Stage.CALLING))
         memory += running * get("instance.run_factor")
         memory += sum(until > self.now for _, until in self.table.values()) * get("instance.kb_per_key")
         assert memory <= get("instance.memory_kb"), "fall-over: memory"
@@ -246,8 +251,8 @@
         return txn.ref in self.answers or txn.ref in self.gone
 
 
-class Sink:
-    """Stands for the log."""
+class RecordingLog:
+    """Replaces the log and keeps its lines."""
 
     def __init__(self) -> None:
         self.lines: list[dict[str, Any]] = []
@@ -255,117 +260,118 @@
     def event(self, event: str, code: str = "", **fields: object) -> None:
         self.lines.append({"event": event, "code": code} | fields)
 
-    def fault(self, event: str, trouble: object, code: str = "exception", **fields: object) -> None:
-        text = "".join(format_exception(trouble)) if isinstance(trouble, Exception) else ""
-        self.event(event, code, trouble=repr(trouble), trace=text, **fields)
+    def fault(self, event: str, error: object, code: str = "exception", **fields: object) -> None:
+        text = "".join(format_exception(error)) if isinstance(error, Exception) else ""
+        self.event(event, code, trouble=repr(error), trace=text, **fields)
 
-    def close_span(self) -> None:
+    def close_window(self) -> None:
         pass
 
     def codes(self, event: str) -> list[str]:
         return [line["code"] for line in self.lines if line["event"] == event]
 
 
-class FacadeHost(Host):
-    """The same host and the same rules, with the facade between it and the brain."""
+class FacadeHost(BrainHost):
+    """The same host and rules, with the facade between the host and the brain."""
 
     def __init__(self, **changes: object) -> None:
         super().__init__(**changes)
         self.settings |= {"instance.gauges": "cpu_busy,runnable"}
-        self.clock, self.sink, self.wakes = Clock(), Sink(), []
-        self.clock.advance(START / 1e6)
-        self.facade = Facade(self.settings, 7, self.clock, self.sink, self.woken)
-        self.brain, self.steps, self.told = self.facade.brain, {}, {}
-        self.intakes: dict[int, Intake] = {}
+        self.clock, self.log, self.wakes = Clock(), RecordingLog(), []
+        self.clock.advance(START_US / 1e6)
+        self.facade = Facade(self.settings, 7, self.clock, self.log, self.on_wake)
+        self.brain, self.steps, self.received = self.facade.brain, {}, {}
+        self.requests: dict[int, Request] = {}
         self.figures = (0.5, 1.0)
-        carry_out, arrived = self.facade._carry_out, self.brain.on_txn_arrived
+        apply_decision, arrived = self.facade._apply_decision, self.brain.on_txn_arrived
 
-        def both(decision: Decision) -> None:
+        def check_and_apply(decision: Decision) -> None:
             self.apply(decision)
-            carry_out(decision)
+            apply_decision(decision)
 
-        def noted(*args: Any, **more: Any) -> Txn:
+        def record_arrival(*args: Any, **more: Any) -> Txn:
             txn = arrived(*args, **more)
             self.txns.append(txn)
             return txn
 
-        self.facade._carry_out, self.brain.on_txn_arrived = both, noted  # type: ignore[method-assign]
+        self.facade._apply_decision = check_and_apply  # type: ignore[method-assign]
+        self.brain.on_txn_arrived = record_arrival  # type: ignore[method-assign]
 
-    def woken(self) -> None:
+    def on_wake(self) -> None:
         self.now = self.facade.now()
         self.facade.tick(self.now, self.figures)
 
     def read(self, product: int = 0, key: str = "", age: int = 0, **more: Any) -> Txn:
-        ref = self.facade.serial + 1
-        told = {"max_wait": 3_000_000, "size_kb": 20.0, "caller": 0, "resent": False} | more
+        ref = self.facade.last_ref + 1
+        fields = {"max_wait": 3_000_000, "size_kb": 20.0, "caller": 0, "resent": False} | more
         self.keys[ref] = key or f"own-{ref}"
-        self.intakes[ref] = Intake(
+        self.requests[ref] = Request(
             f"{ref:016x}",
             "look",
             product,
             0,
-            told["caller"],
+            fields["caller"],
             age,
-            told["max_wait"],
-            told["size_kb"],
+            fields["max_wait"],
+            fields["size_kb"],
             f"body {key or ref}",
-            lambda answer: self.hear(ref, answer),
-            told["resent"],
+            lambda answer: self.on_answer(ref, answer),
+            fields["resent"],
             key=key,
         )
-        self.watch(ref, self.facade.pick(self.intakes[ref]))
+        self.expect_step(ref, self.facade.submit(self.requests[ref]))
         return self.txns[ref - 1]
 
-    def hear(self, ref: int, answer: Answer) -> None:
-        assert ref not in self.told, "two answers"
+    def on_answer(self, ref: int, answer: Answer) -> None:
+        assert ref not in self.received, "two answers"
         assert ref not in self.gone
-        self.told[ref] = answer
-        if answer.kind is Kind.SETTLED:
+        self.received[ref] = answer
+        if answer.kind is AnswerKind.SETTLED:
             key = self.keys[ref]
             assert any(answer.doc == f"result {other}" for other, k in self.keys.items() if k == key)
-        self.answers.setdefault(ref, Outcome.OK if answer.kind is Kind.SETTLED else Outcome.ERROR)
+        self.answers.setdefault(ref, Outcome.OK if answer.kind is AnswerKind.SETTLED else Outcome.ERROR)
 
-    def watch(self, ref: int, step: Any) -> None:
+    def expect_step(self, ref: int, step: Any) -> None:
         assert ref not in self.steps or self.steps[ref].called, "two steps awaited"
         self.steps[ref] = step
 
-    def report(self, txn: Txn, news: Any) -> None:
+    def report(self, txn: Txn, event: Any) -> None:
         self.now = self.facade.now()
         if self.steps[txn.ref].called:
-            self.watch(txn.ref, self.facade.report(self.intakes[txn.ref], news))
+            self.expect_step(txn.ref, self.facade.report(self.requests[txn.ref], event))
         else:
-            self.facade.interrupt(self.intakes[txn.ref])
+            self.facade.interrupt(self.requests[txn.ref])
             assert self.steps[txn.ref].called
-            self.watch(txn.ref, self.facade.report(self.intakes[txn.ref], news))
+            self.expect_step(txn.ref, self.facade.report(self.requests[txn.ref], event))
 
-    def needs(self, txn: Txn) -> None:
-        self.report(txn, Blocked(1, b"call"))
+    def request_call(self, txn: Txn) -> None:
+        self.report(txn, RunBlocked(1, b"call"))
 
     def finish(self, txn: Txn, outcome: Outcome = Outcome.OK) -> None:
-        if txn.stage not in (Stage.JOINED, Stage.OVER):  # who joined is ended by the facade
+        if txn.stage not in (Stage.JOINED, Stage.OVER):  # repeats are ended by the facade
             self.end_call(txn, lingers=txn.stage == Stage.CALLING)
-            self.report(txn, Ended({v: k for k, v in OUTCOMES.items()}[outcome], f"result {txn.ref}"))
+            self.report(txn, RunEnded({v: k for k, v in OUTCOMES.items()}[outcome], f"result {txn.ref}"))
 
     def call_ends(self, txn: Txn, outcome: Outcome) -> None:
         self.end_call(txn, lingers=outcome == Outcome.TIMEOUT)
         self.last_call[txn.ref] = outcome
         spent = self.facade.now() - txn.stage_since
-        self.report(txn, Called({v: k for k, v in OUTCOMES.items()}[outcome], spent))
+        self.report(txn, CallEnded({v: k for k, v in OUTCOMES.items()}[outcome], spent))
 
-    def go(self, txn: Txn) -> None:
-        if txn.ref not in self.told:
+    def abandon(self, txn: Txn) -> None:
+        if txn.ref not in self.received:
             self.gone.add(txn.ref)
-            self.facade.gone(self.intakes[txn.ref])
+            self.facade.cancel_answer(self.requests[txn.ref])
 
     def leave(self, budget: int) -> None:
         self.facade.leave(budget)
 
-    def pull(self) -> list[Decision]:
+    def apply_decisions(self) -> list[Decision]:
         if hasattr(self, "facade"):
             self.now = self.facade.now()
-            self.facade._pull()
+            self.facade._apply_decisions()
             self.check()
-            assert not self.sink.codes("brain-fault") and not self.sink.codes("txn-fault")
+            assert not self.log.codes("brain-fault") and not self.log.codes("txn-fault")
         return []
 
     def apply(self, decision: Decision) -> None:
@@ -389,11 +395,11 @@
                 ]
             )
             self.clock.advance(max(1, next_at - now) / 1e6)
-            self.pull()
+            self.apply_decisions()
 
 
-class Wire(StringTransport):
-    """A transport in memory; the peer reads when `sent` is called."""
+class MemoryTransport(StringTransport):
+    """An in-memory transport; the peer reads when `sent` is called."""
 
     no_delay = half_closed = False
     before_no_delay = b""
@@ -403,11 +409,11 @@
         self.before_no_delay = self.value()
 
     def loseWriteConnection(self) -> None:  # noqa: N802
-        """Our end of the stream; what the peer sends is read on."""
+        """Closes our direction only; data from the peer is still read."""
         self.half_closed = self.disconnecting = True
 
     def doRead(self) -> None:  # noqa: N802
-        """Nothing lies unread here: what arrives is told at once."""
+        """Does nothing: data is delivered as soon as it arrives."""
 
     def resumeProducing(self) -> None:  # noqa: N802
         self.producerState = "producing"
@@ -424,7 +430,7 @@
         self.reports: list[bytes] = []
 
     def listenTCP(self, *args: Any) -> Any:  # noqa: N802
-        """The listening socket as a drain sees it: nobody is in its backlog."""
+        """Returns a listening socket with an empty backlog."""
         return SimpleNamespace(
             socket=SimpleNamespace(listen=lambda most: None),
             doRead=lambda: None,
@@ -440,7 +446,7 @@
         protocol.transport = self
 
 
-SAMPLE: dict[str, Any] = {
+SAMPLE_CONFIG: dict[str, Any] = {
     "name": "n1",
     "listen": "127.0.0.1:8443",
     "kernel": "127.0.1.1:7300",
@@ -502,14 +508,14 @@
 }
 
 
-class Net:
-    """One instance, its sockets in memory, and the far ends of all of them."""
+class InstanceHarness:
+    """One instance with in-memory sockets, and the peers of all of them."""
 
     def __init__(self, **changes: Any) -> None:
-        self.reactor, self.log = Reactor(), Sink()
+        self.reactor, self.log = Reactor(), RecordingLog()
         self.reactor.advance(100.0)
-        setup = setup_of(SAMPLE | changes)
-        self.file: dict[str, Any] = SAMPLE | changes  # what a reload finds
+        setup = parse_setup(SAMPLE_CONFIG | changes)
+        self.file: dict[str, Any] = SAMPLE_CONFIG | changes  # the configuration file that a reload reads
         self.instance = Instance(
             setup,
             self.reactor,
@@ -527,22 +533,22 @@
             self.reactor.advance(every)
 
     def connect(self, host: str) -> Any:
-        """The far end takes the newest connection that was opened to it."""
+        """Accepts the latest connection that the instance opened to this host."""
         self.reactor.advance(0)
-        at = max(i for i, client in enumerate(self.reactor.tcpClients) if client[0] == host)
-        protocol = self.reactor.tcpClients.pop(at)[2].buildProtocol(None)
-        protocol.makeConnection(Wire())
+        index = max(i for i, client in enumerate(self.reactor.tcpClients) if client[0] == host)
+        protocol = self.reactor.tcpClients.pop(index)[2].buildProtocol(None)
+        protocol.makeConnection(MemoryTransport())
         return protocol
 
     def boot(self, **more: Any) -> list[dict[str, Any]]:
-        """A new link to the kernel, up to the fence; what was sent before it."""
+        """Opens a new link to the kernel, up to the answer to the fence; returns the commands sent before."""
         self.link = self.connect("127.0.1.1")
-        first = self.commands()
+        commands = self.commands()
         self.tell(event="BOOTED", fate="warm", lasted=60_000)
         for notice in more.get("again", []):
             self.tell(**notice)
         self.tell(event="INFO", ticket="fence", figures=[0, 0, 0, 0])
-        return first
+        return commands
 
     def tell(self, **notice: Any) -> None:
         if "cursor" in notice and notice["cursor"] is None:
@@ -551,18 +557,18 @@
         self.link.dataReceived(orjson.dumps(notice) + b"\n")
 
     def commands(self) -> list[dict[str, Any]]:
-        """What the kernel was told, the gauges answered."""
+        """Returns the commands sent to the kernel, and answers queries for gauges."""
         self.reactor.advance(0)
-        heard = [orjson.loads(line) for line in self.link.transport.sent().splitlines()]
-        for command in heard:
+        commands = [orjson.loads(line) for line in self.link.transport.sent().splitlines()]
+        for command in commands:
             if command["event"] == "SYSINFO" and command["ticket"] != "fence":
                 self.tell(event="INFO", ticket=command["ticket"], figures=[0.5, 1, 0.1, 3])
-        return [command for command in heard if command["event"] != "SYSINFO"]
+        return [command for command in commands if command["event"] != "SYSINFO"]
 
     def caller(self) -> Any:
         connection = self.instance.callers.buildProtocol(None)
-        transport = Wire()
-        if connection is None:  # closed at once, as the real port does
+        transport = MemoryTransport()
+        if connection is None:  # closed at once, as a real port does
             transport.abortConnection()
             connection = Protocol()
         connection.makeConnection(transport)
@@ -594,18 +600,18 @@
         protocol.connectionLost(Failure(ConnectionDone() if clean else ConnectionLost()))
 
 
-class FarKernel:
-    """The kernel's own books: runs go on without a link, notices are kept and told again."""
+class FakeKernel:
+    """A fake kernel: runs continue without a link; notices are kept and repeated on the next one."""
 
-    def __init__(self, net: Net) -> None:
+    def __init__(self, net: InstanceHarness) -> None:
         self.net, self.link, self.opened = net, None, False
         self.notices: list[dict[str, Any]] = []
-        self.state: dict[str, str] = {}  # by handle: runs, waits, over
+        self.state: dict[str, str] = {}  # by handle: "runs", "waits" or "over"
         self.started: list[str] = []
-        self.closed: set[str] = set()  # answered or given up
+        self.closed: set[str] = set()  # handles of txns that were answered or given up
 
     def connect(self) -> bool:
-        """Takes a new link, if one was asked for."""
+        """Accepts a new link, if the instance has requested one."""
         if self.link is not None or not any(c[0] == "127.0.1.1" for c in self.net.reactor.tcpClients):
             return False
         self.link = self.net.link = self.net.connect("127.0.1.1")
@@ -614,7 +620,7 @@
 
     def lose(self) -> None:
         if self.link is not None:
-            self.read()  # what was sent reached it, or some of it
+            self.read()  # what was sent has arrived
             link, self.link = self.link, None
             self.net.lose(link, clean=False)
 
@@ -638,7 +644,7 @@
         self.note(event="IOREQ", handle=handle, arg="Y2FsbA==")
 
     def over(self, handle: str) -> None:
-        """Its txn was answered or given up: a run that waits for a call ends there."""
+        """The txn was answered or given up: its run ends if it waits for a call."""
         self.closed.add(handle)
         if self.state.get(handle) == "waits":
             self.end(handle, "halted")
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -16,10 +16,10 @@
 from typing import Any
 
 import orjson
-from helpers import MOST, SAMPLE, Sink
+from helpers import MAX_WAIT_S, SAMPLE_CONFIG, RecordingLog
 from twisted.internet.epollreactor import EPollReactor
 
-from limeridge.config import reading, setup_of
+from limeridge.config import parse_setup, reading
 from limeridge.net.callers import FrameParser, encode_frame
 from limeridge.net.service import Instance
 
@@ -168,7 +168,7 @@
         for made in (self.kernel_listener, self.ledger_listener, self.node_list_socket):
             made.setblocking(False)
         self.configuration: dict[str, Any] = (
-            SAMPLE
+            SAMPLE_CONFIG
             | {
                 "listen": free_address(),
                 "kernel": address(self.kernel_listener),
@@ -177,9 +177,9 @@
             }
             | changes
         )
-        self.log = Sink()
+        self.log = RecordingLog()
         self.instance = Instance(
-            setup_of(self.configuration),
+            parse_setup(self.configuration),
             self.reactor,
             self.log,  # type: ignore[arg-type]
             lambda before, now: reading("config", lambda _: [orjson.dumps(self.configuration)], before, now),
@@ -195,9 +195,9 @@
             self.reactor.iterate(0)
 
     def wait_until(self, description: str, condition: Callable[[], Any]) -> Any:
-        end = time.monotonic() + MOST
+        end = time.monotonic() + MAX_WAIT_S
         while not (found := condition()):
-            assert time.monotonic() < end, f"not within {MOST:g} s: {description}"
+            assert time.monotonic() < end, f"not within {MAX_WAIT_S:g} s: {description}"
             self.reactor.iterate(0.005)
         return found
 
@@ -227,7 +227,7 @@
 
     def connect(self) -> CallerEnd:
         host, _, port = self.configuration["listen"].rpartition(":")
-        remote = CallerEnd(socket.create_connection((host, int(port)), timeout=MOST))
+        remote = CallerEnd(socket.create_connection((host, int(port)), timeout=MAX_WAIT_S))
         self.remote_ends.append(remote)
         return remote
 
--- a/tests/test_configuration_live.py
+++ b/tests/test_configuration_live.py
@@ -7,12 +7,12 @@
 
 import orjson
 import pytest
-from helpers import SAMPLE, Host, Net
+from helpers import SAMPLE_CONFIG, BrainHost, InstanceHarness
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from limeridge.brain import HOLD_TARGET
-from limeridge.config import SETTINGS, Setup, Unusable, reading, setup_of
+from limeridge.config import SETTINGS, ConfigError, Setup, parse_setup, reading
 from limeridge.configuration.application import FIXED_FOR_MEMBERS, LIVE_SETTINGS, plan_revision
 from limeridge.configuration.names import NameTableEditor
 from limeridge.configuration.reading import (
@@ -43,14 +43,14 @@
 # ---- decisions of the brain
 
 
-def revise(host: Host, **changes: object) -> None:
+def revise(host: BrainHost, **changes: object) -> None:
     new = host.settings | {name.replace("__", "."): value for name, value in changes.items()}
     host.settings = new
     host.brain.update_settings(host.now, new)
 
 
 def test_open_request_keeps_the_terms_of_its_revision() -> None:
-    host = Host(instance__passes_expiry=False)
+    host = BrainHost(instance__passes_expiry=False)
     before = host.read(max_wait=0)
     revise(host, products__0__sla_time=100_000, products__0__expiry=200_000, products__0__value=9.0)
     after = host.read(max_wait=0)
@@ -61,8 +61,8 @@
 
 
 def test_held_request_keeps_the_hold_target_of_its_revision() -> None:
-    host = Host()
-    txns = host.crowd(5)
+    host = BrainHost()
+    txns = host.submit_many(5)
     assert [txn.stage for txn in txns].count(Stage.HELD) == 3
     revise(host, products__0__sla_time=100_000, products__0__expiry=200_000)
     host.pass_time(120_000)  # past the new target, within the old one
@@ -70,12 +70,12 @@
 
 
 def test_learned_times_are_preserved_when_limits_change() -> None:
-    host = Host()
+    host = BrainHost()
     for _ in range(20):
-        txn = host.take()
+        txn = host.submit()
         host.pass_time(300_000)
         host.finish(txn)
-        host.pull()
+        host.apply_decisions()
     product = host.brain.products[0]
     costs, cap = list(product.ladder[0].costs), host.brain.call_bound
     usual, work = product.run_times.quantile(0.5) * 1_000_000, product.typical_core_seconds()
@@ -98,7 +98,7 @@
 
 
 def test_quota_change_applies_to_the_next_request_without_a_full_bucket() -> None:
-    host = Host(customers__0__quota_per_s=30.0, group_size=100)
+    host = BrainHost(customers__0__quota_per_s=30.0, group_size=100)
     assert [host.read().over_share for _ in range(6)] == [False] * 4 + [True] * 2
     revise(host, customers__0__quota_per_s=0)
     assert not host.read().over_share
@@ -107,21 +107,21 @@
 
 
 def test_skip_worth_applies_to_new_requests_only() -> None:
-    host = Host(instance__skip_values=[0.0])
-    before = host.take()
+    host = BrainHost(instance__skip_values=[0.0])
+    before = host.submit()
     revise(host, instance__skip_values=[0.5])
-    after = host.take()
+    after = host.submit()
     for txn in (before, after):
         host.block(txn)
         host.pass_time(10_000)
         host.call_ends(txn, Outcome.ERROR)
-        host.pull()
+        host.apply_decisions()
     skipped = [decision.txn for decision in host.seen if decision.verb is Verb.SKIP]
     assert after in skipped and before not in skipped
 
 
 def test_call_limit_follows_the_setting_unless_a_share_is_allotted() -> None:
-    host = Host()
+    host = BrainHost()
     revise(host, instance__calls_out=10.0)
     assert host.brain.max_call_bound == 9.0 and host.brain.call_bound <= 9.0
     host.brain.set_call_share(host.now, 3)
@@ -134,7 +134,7 @@
 
 def sample_configuration(count: int, **more: Any) -> dict[str, Any]:
     accounts = [{"name": f"tenant {number}", "quotaPerS": 30.0} for number in range(count)]
-    return SAMPLE | {"settings": SAMPLE["settings"] | {"accounts": accounts}} | more
+    return SAMPLE_CONFIG | {"settings": SAMPLE_CONFIG["settings"] | {"accounts": accounts}} | more
 
 
 def chunks_of(data: bytes) -> list[bytes]:
@@ -243,9 +243,12 @@
     ],
 )
 def test_account_fault_names_the_entry(accounts: Any, expected: str) -> None:
-    value = SAMPLE | {"settings": SAMPLE["settings"] | {"accounts": accounts}}
-    for steps in (lambda: run_to_completion(steps_of(json.dumps(value).encode())), lambda: setup_of(value)):
-        with pytest.raises(Unusable) as fault:
+    value = SAMPLE_CONFIG | {"settings": SAMPLE_CONFIG["settings"] | {"accounts": accounts}}
+    for steps in (
+        lambda: run_to_completion(steps_of(json.dumps(value).encode())),
+        lambda: parse_setup(value),
+    ):
+        with pytest.raises(ConfigError) as fault:
             steps()
         assert str(fault.value).startswith(f"settings.{expected}")
 
@@ -256,14 +259,14 @@
     steps = reading(str(path))
     assert run_turn(steps) is None
     path.write_bytes(orjson.dumps(sample_configuration(5_000, name="n2")))
-    with pytest.raises(Unusable, match="it changed"):
+    with pytest.raises(ConfigError, match="it changed"):
         run_to_completion(steps)
 
 
 # ---- reloads of an instance
 
 
-def reload(net: Net, **changes: Any) -> dict[str, Any]:
+def reload(net: InstanceHarness, **changes: Any) -> dict[str, Any]:
     """Reloads with these settings changed, by path, and returns the log line."""
     net.file = json.loads(json.dumps(net.file))
     for path, value in changes.items():
@@ -283,14 +286,14 @@
     return line
 
 
-def boot_instance() -> Net:
-    net = Net()
+def boot_instance() -> InstanceHarness:
+    net = InstanceHarness()
     net.boot()
     net.commands()
     return net
 
 
-def end_run(net: Net, ref: str) -> None:
+def end_run(net: InstanceHarness, ref: str) -> None:
     net.tell(event="REAP", cursor=None, handle=ref, fate="ok", lasted=30, arg="ZG9uZQ==")
 
 
@@ -307,7 +310,7 @@
     assert (line["code"], line["needs_restart"]) == ("taken", [])
     reload(net, familyInfo__classSkipWorth=[0.0, 0.0], familyInfo__idle=7_000_000)
     assert net.instance.idle_limit() == 7_000_000
-    assert net.instance.facade.skews[0] == 4_000_000, (
+    assert net.instance.facade.max_read_delays_us[0] == 4_000_000, (
         "the skew must allow for requests read under the old deadline"
     )
     assert not net.instance.skippable_calls[0]
@@ -345,7 +348,7 @@
     other = net.caller()
     net.ask(other, 1, t="another")
     assert not list(net.instance.facade.open.values())[-1].txn.over_share
-    reload(net, accounts=SAMPLE["settings"]["accounts"])
+    reload(net, accounts=SAMPLE_CONFIG["settings"]["accounts"])
     assert net.instance.setup.tenants.find("acme west") == here.find("acme west") == 0
     net.ask(other, 2)
     assert list(net.instance.facade.open.values())[-1].txn.over_share
@@ -362,7 +365,7 @@
         net,
         classes__1__keyTtl=1,
         classes__1__worth=7.0,
-        accounts=[*SAMPLE["settings"]["accounts"], {"name": "x"}],
+        accounts=[*SAMPLE_CONFIG["settings"]["accounts"], {"name": "x"}],
     )
     net.ask(caller, 2, "book", k="once", r=1)
     assert net.answers(caller)[0]["result"]["doc"] == "ZG9uZQ==" and net.commands() == []
@@ -400,7 +403,7 @@
 
 def test_settings_that_need_a_restart_are_reported_and_unchanged() -> None:
     net = boot_instance()
-    classes = [dict(each) for each in SAMPLE["settings"]["classes"]]
+    classes = [dict(each) for each in SAMPLE_CONFIG["settings"]["classes"]]
     classes[1]["idempotency"] = "free"
     net.file |= {"seed": "ab", "name": "n2", "limits": {"sockets": 900}}
     line = reload(net, classes=classes, familyInfo__cpus=9, familyInfo__memoryKb=9.0, groupSize=8)
@@ -420,7 +423,7 @@
 
 def test_added_or_removed_classes_need_a_restart_while_others_change_live() -> None:
     net = boot_instance()
-    look, book = (dict(each) for each in SAMPLE["settings"]["classes"])
+    look, book = (dict(each) for each in SAMPLE_CONFIG["settings"]["classes"])
     book["worth"] = 8.0
     line = reload(net, classes=[book | {"name": "new"}, book], familyInfo__classSkipWorth=[0.9, 0.4])
     assert line["needs_restart"] == ["settings.classes"] and net.instance.setup.products == ("look", "book")
@@ -434,9 +437,9 @@
 def test_every_setting_is_live_or_reported() -> None:
     assert set(SETTINGS) >= LIVE_SETTINGS and {"accounts", "familyInfo.cpus"}.isdisjoint(LIVE_SETTINGS)
     assert FIXED_FOR_MEMBERS < LIVE_SETTINGS
-    old = setup_of(SAMPLE)
-    longer = [each | {"deadline": 9_000_000} for each in SAMPLE["settings"]["classes"]]
-    new = setup_of(SAMPLE | {"settings": SAMPLE["settings"] | {"classes": longer}})
+    old = parse_setup(SAMPLE_CONFIG)
+    longer = [each | {"deadline": 9_000_000} for each in SAMPLE_CONFIG["settings"]["classes"]]
+    new = parse_setup(SAMPLE_CONFIG | {"settings": SAMPLE_CONFIG["settings"] | {"classes": longer}})
     assert plan_revision(old, new).needs_restart == () and plan_revision(old, new).setup.plain == new.plain
     members = plan_revision(old, new, FIXED_FOR_MEMBERS)
     assert members.needs_restart == ("settings.classes.0.deadline", "settings.classes.1.deadline")
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,14 +18,14 @@
 
 import orjson
 import pytest
-from helpers import MOST, SAMPLE, Net, Wire, until
+from helpers import MAX_WAIT_S, SAMPLE_CONFIG, InstanceHarness, MemoryTransport, until
 from loopback import CallerEnd, KernelEnd, RemoteEnd, address, bound_socket, free_address, stepped
 from twisted.internet.error import CannotListenError, ConnectionRefusedError
 from twisted.python.failure import Failure
 
-from limeridge.facade import End
+from limeridge.facade import EndStatus
 from limeridge.net.callers import CLOSE_TIMEOUT_S, DISPLACED_DIVISOR, MAX_DISCARDED_BYTES, close_listener
-from limeridge.net.kernel import Dial
+from limeridge.net.kernel import ConnectAttempt
 from limeridge.net.service import (
     CLOSE_STREAMS_BEFORE_KILL_S,
     EXIT_BEFORE_KILL_S,
@@ -104,7 +104,7 @@
 
 
 def test_peer_that_never_closes_its_end_is_aborted_after_a_timeout() -> None:
-    net = Net()
+    net = InstanceHarness()
     net.boot()
     caller = net.caller()
     caller.close("silent")
@@ -114,7 +114,7 @@
 
 
 def test_half_closed_connection_that_is_displaced_is_aborted() -> None:
-    net = Net(limits={"sockets": 128})
+    net = InstanceHarness(limits={"sockets": 128})
     net.boot()
     callers = net.instance.callers
     silent = [net.caller() for _ in range(callers.max_connections)]
@@ -173,7 +173,7 @@
 
 def test_tcp_no_delay_is_set_before_the_first_write() -> None:
     """For each kind of connection."""
-    net = Net()
+    net = InstanceHarness()
     net.boot()
     caller = net.caller()
     ref = net.ask(caller, 1)
@@ -241,7 +241,9 @@
 
 @pytest.mark.parametrize("grace", [0, 300_000])
 def test_request_read_after_the_signal_runs_within_the_grace_period_only(grace: int) -> None:
-    settings = SAMPLE["settings"] | {"guarantees": SAMPLE["settings"]["guarantees"] | {"drainGrace": grace}}
+    settings = SAMPLE_CONFIG["settings"] | {
+        "guarantees": SAMPLE_CONFIG["settings"]["guarantees"] | {"drainGrace": grace}
+    }
     with stepped(settings=settings, stop_ms=20_000) as s:
         caller, _ = s.connect_accepted()
         s.serve_request(caller)
@@ -305,7 +307,7 @@
 
 
 def test_connections_are_closed_before_the_process_exits() -> None:
-    net = Net()
+    net = InstanceHarness()
     net.boot()
     caller = net.caller()
     stopped: list[bool] = []
@@ -334,7 +336,7 @@
 
 
 def test_drain_while_the_address_is_in_use_ends_the_listen_retries() -> None:
-    net = Net()
+    net = InstanceHarness()
     tried: list[int] = []
 
     def refuse_listen(*_: Any) -> None:
@@ -357,7 +359,7 @@
 
 def test_address_in_use_is_retried_without_limit_and_foreign_address_is_not() -> None:
     for number, code in ((errno.EADDRINUSE, 0), (errno.EADDRNOTAVAIL, 1)):
-        net = Net()
+        net = InstanceHarness()
         stopped: list[bool] = []
         net.reactor.stop = lambda: stopped.append(True)  # type: ignore[method-assign] # noqa: B023
 
@@ -392,19 +394,20 @@
         s.wait_until("the call", lambda: b"\r\n\r\n" in call.read_available().data)
         call.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nreply")
         s.wait_until(
-            "the reply to be commanded", lambda: ref in kernel.uncarried and kernel.uncarried[ref].replies_to
+            "the reply to be commanded",
+            lambda: ref in kernel.unconfirmed and kernel.unconfirmed[ref].replies_to,
         )
         old.send_notice(event="DMESG", fate="on its way")  # unread when the new link is connected
-        kernel.dial = Dial(kernel)
-        kernel.dial.buildProtocol(None).makeConnection(Wire())
+        kernel.attempt = ConnectAttempt(kernel)
+        kernel.attempt.buildProtocol(None).makeConnection(MemoryTransport())
         s.wait_until("the end of the old stream", lambda: old.read_available().end)
         assert old.end == "end" and [c["handle"] for c in old.commands("IODONE")] == [ref]
 
 
 def test_request_before_the_kernel_is_up_does_not_hide_a_cold_start() -> None:
-    net = Net(
-        settings=SAMPLE["settings"]
-        | {"familyInfo": SAMPLE["settings"]["familyInfo"] | {"justStarted": False}}
+    net = InstanceHarness(
+        settings=SAMPLE_CONFIG["settings"]
+        | {"familyInfo": SAMPLE_CONFIG["settings"]["familyInfo"] | {"justStarted": False}}
     )
     early = net.caller()
     ref = net.ask(early, 1)
@@ -420,7 +423,7 @@
 
 
 def test_link_lost_while_resuming_sends_nothing_twice() -> None:
-    net = Net()
+    net = InstanceHarness()
     net.boot()
     caller = net.caller()
     ref = net.ask(caller, 1)
@@ -440,7 +443,7 @@
 
 
 def test_refused_link_is_retried_often_enough() -> None:
-    net = Net()
+    net = InstanceHarness()
     for _ in range(20):
         net.reactor.advance(0)
         net.reactor.tcpClients.pop()[2].clientConnectionFailed(None, Failure(ConnectionRefusedError()))
@@ -452,7 +455,7 @@
 
 
 def test_report_socket_that_fails_at_start_is_retried() -> None:
-    net = Net()
+    net = InstanceHarness()
     net.instance.node_list.transport = None
     good = net.reactor.listenUDP
     failed: list[int] = []
@@ -471,7 +474,7 @@
 
 
 def test_node_list_that_moves_gets_reports_at_its_new_address() -> None:
-    net = Net()
+    net = InstanceHarness()
     net.boot()
     net.pass_time(0.4)
     net.file |= {"roster": "127.0.3.3:7947"}
@@ -504,7 +507,7 @@
 
 
 def test_reload_of_foreign_settings_changes_only_addresses_and_tenants() -> None:
-    net = Net()
+    net = InstanceHarness()
     net.boot()
     caller = net.caller()
     other = {
@@ -512,7 +515,7 @@
         "accounts": [{"name": "them"}],
         "familyInfo": {"cpus": 64},
     }
-    net.file = SAMPLE | {
+    net.file = SAMPLE_CONFIG | {
         "settings": other,
         "limits": {"sockets": 64, "memory_mb": 16},
         "records": "127.0.3.2:8901",
@@ -552,7 +555,7 @@
 def test_sighup_before_the_handler_is_installed_is_handled_later(tmp_path: Path) -> None:
     """SIGHUP to a real process between its start of reading the configuration, which is a named pipe, and the
     installation of its signal handlers."""
-    config, pipe = SAMPLE | {"listen": free_address(), "kernel": "127.0.0.1:9"}, tmp_path / "config"
+    config, pipe = SAMPLE_CONFIG | {"listen": free_address(), "kernel": "127.0.0.1:9"}, tmp_path / "config"
     os.mkfifo(pipe)
     with (tmp_path / "log").open("wb") as log:
         child = subprocess.Popen(
@@ -610,7 +613,7 @@
         assert ref in done and "result" in caller.answers_by_id()[2]
         for each in (caller, late):
             each.close()
-        assert p.process.wait(MOST) == 0
+        assert p.process.wait(MAX_WAIT_S) == 0
         assert (b'"code":"again"' in p.log_bytes()) == (times == 2)
 
 
@@ -625,9 +628,9 @@
         )
         for made in (self.kernel_listener, self.ledger_listener):
             made.listen(64)
-            made.settimeout(MOST)
+            made.settimeout(MAX_WAIT_S)
         self.configuration = (
-            SAMPLE
+            SAMPLE_CONFIG
             | {
                 "listen": free_address(),
                 "kernel": address(self.kernel_listener),
@@ -650,11 +653,11 @@
         return self.log.read_bytes()
 
     def wait_until(self, description: str, condition: Any) -> Any:
-        end = time.monotonic() + MOST
+        end = time.monotonic() + MAX_WAIT_S
         while not (found := condition()):
             in_time = time.monotonic() < end and self.process.poll() is None
             assert in_time, (
-                f"not within {MOST:g} s: {description}; its log ends with {self.log_bytes()[-2_000:]!r}"
+                f"not within {MAX_WAIT_S:g} s: {description}; its log ends with {self.log_bytes()[-2_000:]!r}"
             )
             time.sleep(0.005)
         return found
@@ -668,7 +671,7 @@
 
     def connect(self) -> CallerEnd:
         host, _, port = str(self.configuration["listen"]).rpartition(":")
-        return CallerEnd(socket.create_connection((host, int(port)), timeout=MOST))
+        return CallerEnd(socket.create_connection((host, int(port)), timeout=MAX_WAIT_S))
 
 
 @contextmanager
@@ -770,7 +773,7 @@
         p.boot()
         p.kernel.cursor = cursor
         served(connect_regular(p))
-        p.node_list_socket.settimeout(MOST)
+        p.node_list_socket.settimeout(MAX_WAIT_S)
         begun = processor_seconds(p)
         for _ in range(5):  # a report every 0.3 s, although the node list does not answer
             assert p.node_list_socket.recv(100).split() == [b"HERE", b"n1", b"on"]
@@ -783,7 +786,7 @@
 
 
 def test_descriptor_limit_of_the_system_caps_the_configured_one(tmp_path: Path) -> None:
-    (tmp_path / "config.json").write_bytes(orjson.dumps(SAMPLE | {"listen": free_address()}))
+    (tmp_path / "config.json").write_bytes(orjson.dumps(SAMPLE_CONFIG | {"listen": free_address()}))
     with (tmp_path / "log").open("wb") as log:
         child = subprocess.Popen(
             ["/bin/sh", "-c", f"ulimit -n 64 && exec {sys.executable} -m limeridge"],
@@ -794,7 +797,7 @@
         )
     try:
         until("the line of its start", lambda: b'"start"' in (tmp_path / "log").read_bytes())
-        assert SAMPLE["limits"]["sockets"] == 1_024
+        assert SAMPLE_CONFIG["limits"]["sockets"] == 1_024
         assert b'"sockets":64' in (tmp_path / "log").read_bytes().splitlines()[0]
     finally:
         child.kill()
@@ -802,7 +805,7 @@
 
 
 def test_stored_results_are_bounded_by_memory() -> None:
-    net = Net(limits={"memory_mb": 16})
+    net = InstanceHarness(limits={"memory_mb": 16})
     net.boot()
     caller, doc = net.caller(), "A" * 14_000
     for number in range(1, 500):
@@ -810,7 +813,7 @@
         net.commands()
         net.tell(event="REAP", cursor=None, handle=ref, fate="ok", lasted=5, arg=doc)
         net.answers(caller)
-    assert 1 << 20 < net.instance.facade.results_size <= 2 << 20
+    assert 1 << 20 < net.instance.facade.results_bytes <= 2 << 20
 
 
 # ---- repeats
@@ -835,8 +838,8 @@
 @pytest.mark.parametrize("other", [{"doc": "b3RoZXI="}, {"t": "acme east"}])
 def test_key_reused_with_another_body_or_tenant_is_rejected(other: dict[str, Any], open_still: bool) -> None:
     """A result served to a misbehaving client would be lost to the owner of the key."""
-    accounts = [*SAMPLE["settings"]["accounts"], {"name": "acme east"}]
-    net = Net(settings=SAMPLE["settings"] | {"accounts": accounts})
+    accounts = [*SAMPLE_CONFIG["settings"]["accounts"], {"name": "acme east"}]
+    net = InstanceHarness(settings=SAMPLE_CONFIG["settings"] | {"accounts": accounts})
     net.boot()
     caller, bad = net.caller(), net.caller()
     ref = net.ask(caller, 1, "book", k="acct-1")
@@ -854,7 +857,7 @@
 
 
 def test_key_of_a_txn_unknown_to_the_kernel_stays_free() -> None:
-    net = Net()
+    net = InstanceHarness()
     net.boot()
     bad, caller = net.caller(), net.caller()
     forged = net.ask(bad, 1, "book", k="acct-1", doc="b3RoZXI=")
@@ -889,8 +892,11 @@
 @pytest.mark.parametrize(("landed", "runs"), [(-0.02, 1), (0.02, 2)])
 def test_repeat_at_the_end_of_the_window_counts_by_its_send_time(landed: float, runs: int) -> None:
     """Both are read at the same time: a repeat sent within the window never runs again, a later one may."""
-    classes = [SAMPLE["settings"]["classes"][0], SAMPLE["settings"]["classes"][1] | {"keyTtl": 500_000}]
-    net = Net(settings=SAMPLE["settings"] | {"classes": classes, "round": 0})
+    classes = [
+        SAMPLE_CONFIG["settings"]["classes"][0],
+        SAMPLE_CONFIG["settings"]["classes"][1] | {"keyTtl": 500_000},
+    ]
+    net = InstanceHarness(settings=SAMPLE_CONFIG["settings"] | {"classes": classes, "round": 0})
     net.boot()
     caller = net.caller()
     begun = net.instance.callers.unix()
@@ -926,7 +932,7 @@
 @pytest.mark.parametrize("how", ["end", "reset"])
 def test_truncated_reply_counts_as_broken(piece: bytes, how: str) -> None:
     with stepped() as s:
-        outcomes: list[End] = []
+        outcomes: list[EndStatus] = []
         call = s.instance.ledger.call("0" * 16, 5_000_000, b"body")
         call.done.addCallback(lambda called: outcomes.append(called.end))
         call_connection = s.accept(s.ledger_listener, RemoteEnd)
@@ -934,12 +940,12 @@
         call_connection.write(piece)
         call_connection.close() if how == "end" else call_connection.reset()
         s.wait_until("its end", lambda: outcomes)
-        assert outcomes == [End.BROKEN] and s.instance.ledger.connections == 0
+        assert outcomes == [EndStatus.BROKEN] and s.instance.ledger.connections == 0
 
 
 def test_reply_that_coincides_with_its_timeout_is_reported_once() -> None:
     with stepped() as s:
-        outcomes: list[End] = []
+        outcomes: list[EndStatus] = []
         call = s.instance.ledger.call("0" * 16, 50_000, b"body")
         call.done.addCallback(lambda called: outcomes.append(called.end))
         call_connection = s.accept(s.ledger_listener, RemoteEnd)
@@ -950,7 +956,7 @@
             pass
         s.wait_until("its end", lambda: outcomes)
         s.iterate(5)
-        assert outcomes in ([End.TIMED_OUT], [End.OK]) and s.instance.ledger.connections == 0
+        assert outcomes in ([EndStatus.TIMED_OUT], [EndStatus.OK]) and s.instance.ledger.connections == 0
 
 
 # ---- floods
@@ -980,7 +986,7 @@
     that could not come. Evidence: `drain` `time-up` with `connections` 0 in the log, 0.017 to 0.039 s before
     the kill."""
     for offset in (0.0, 0.013, 0.031, 0.049):
-        net = Net()
+        net = InstanceHarness()
         net.boot()
         net.caller()  # never closes its end
         ended: list[float] = []
@@ -1006,7 +1012,7 @@
 
 def test_kill_time_counts_from_the_signal() -> None:
     """The signal handler runs within an iteration of the event loop, the drain starts in the next one."""
-    net = Net()
+    net = InstanceHarness()
     net.boot()
     instance = net.instance
     instance.record_signal(signal.SIGHUP)
@@ -1015,7 +1021,7 @@
     net.reactor.rightNow += 0.4  # the iteration continues
     instance.record_signal(signal.SIGINT)
     instance.start_drain()
-    stop = SAMPLE["stop_ms"] / 1_000
+    stop = SAMPLE_CONFIG["stop_ms"] / 1_000
     assert instance.kill_at == pytest.approx(signalled + stop)
     brain = instance.facade.brain
     assert brain.drain_at == pytest.approx(signalled * 1e6, abs=10)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -12,11 +12,11 @@
 
 import orjson
 import pytest
-from helpers import SAMPLE, Net
+from helpers import SAMPLE_CONFIG, InstanceHarness
 from twisted.internet.error import ConnectionRefusedError
 from twisted.python.failure import Failure
 
-from limeridge.facade import End
+from limeridge.facade import EndStatus
 from limeridge.net.callers import (
     AWAITING_REQUEST_DIVISOR,
     MAX_ERROR_SCORE,
@@ -28,23 +28,23 @@
     RejectedConnection,
     encode_frame,
 )
-from limeridge.net.log import MOST, Log
+from limeridge.net.log import MAX_LINES_PER_WINDOW, Log
 from limeridge.peers.gate import Gate
 
 ROOT = Path(__file__).parent.parent / "limeridge"
-SETTINGS_WITH_MANY_CALLS = SAMPLE["settings"] | {
-    "familyInfo": SAMPLE["settings"]["familyInfo"] | {"callsOut": 40.0}
+SETTINGS_WITH_MANY_CALLS = SAMPLE_CONFIG["settings"] | {
+    "familyInfo": SAMPLE_CONFIG["settings"]["familyInfo"] | {"callsOut": 40.0}
 }
 REPLY = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nreply"
 
 
-def boot_net(**changes: Any) -> Net:
-    net = Net(**changes)
+def boot_net(**changes: Any) -> InstanceHarness:
+    net = InstanceHarness(**changes)
     assert net.boot() == [{"event": "OPEN", "cursor": 0}]
     return net
 
 
-def start_call(net: Net) -> tuple[Any, str, Any]:
+def start_call(net: InstanceHarness) -> tuple[Any, str, Any]:
     """A txn whose run waits for a call: its caller, its ref, and the connection of the call."""
     caller = net.caller()
     ref = net.ask(caller, 1)
@@ -112,22 +112,22 @@
 def test_excess_calls_wait_and_move_to_new_address() -> None:
     net = boot_net()
     ledger = net.instance.ledger
-    calls = [ledger.call(f"{n:016x}", 500_000, b"") for n in range(ledger.most + 2)]
-    outcomes: list[End] = []
+    calls = [ledger.call(f"{n:016x}", 500_000, b"") for n in range(ledger.max_connections + 2)]
+    outcomes: list[EndStatus] = []
     for call in calls:
         call.done.addCallback(lambda called: outcomes.append(called.end))
-    assert len(net.reactor.tcpClients) == ledger.connections == ledger.most
+    assert len(net.reactor.tcpClients) == ledger.connections == ledger.max_connections
     first = net.connect("127.0.1.2")
     net.file |= NEW_ADDRESSES
     net.instance.reload()
     first.dataReceived(REPLY)
     net.lose(first)
-    assert outcomes == [End.OK] and net.reactor.tcpClients[-1][0] == "127.0.3.2"
+    assert outcomes == [EndStatus.OK] and net.reactor.tcpClients[-1][0] == "127.0.3.2"
     at = next(c for c in net.reactor.tcpClients if c[0] == "127.0.1.2")
     at[2].clientConnectionFailed(None, Failure(ConnectionRefusedError()))
-    assert outcomes == [End.OK] and net.reactor.tcpClients[-1][0] == "127.0.3.2"
+    assert outcomes == [EndStatus.OK] and net.reactor.tcpClients[-1][0] == "127.0.3.2"
     net.pass_time(0.6)
-    assert outcomes[1:] == [End.UNREACHED] * (ledger.most + 1)
+    assert outcomes[1:] == [EndStatus.UNREACHED] * (ledger.max_connections + 1)
 
 
 def test_lapsed_share_stops_calls_before_they_are_sent() -> None:
@@ -141,10 +141,10 @@
         return made
 
     calls = [call() for _ in range(3)]
-    assert outcomes == [End.FULL], "no room for a third: nothing was opened for it"
+    assert outcomes == [EndStatus.FULL], "no room for a third: nothing was opened for it"
     share[0] = 1  # changes while the connections are being opened
     call_connection = net.connect("127.0.1.2")
-    assert (call_connection.transport.sent(), outcomes[1:]) == (b"", [End.UNREACHED]), (
+    assert (call_connection.transport.sent(), outcomes[1:]) == (b"", [EndStatus.UNREACHED]), (
         "never sent, and proved so"
     )
     net.lose(call_connection)
@@ -154,7 +154,7 @@
     calls[0].abandon()
     net.lose(call_connection)
     assert (gate.in_hand(), ledger.connections) == (1, 0), "left behind: the ledger may still work on it"
-    assert (call(), outcomes[-1])[1] is End.FULL
+    assert (call(), outcomes[-1])[1] is EndStatus.FULL
     net.pass_time(0.2)
     call()
     assert (gate.in_hand(), ledger.connections) == (1, 1)
@@ -598,7 +598,7 @@
 
 
 def test_instance_is_ready_only_with_its_kernel_and_needs_no_ledger() -> None:
-    net = Net()
+    net = InstanceHarness()
     caller = net.caller()
     net.send(caller, jsonrpc="2.0", id=1, method="heartbeat")
     assert net.answers(caller)[0]["result"]["ready"] is False
@@ -669,19 +669,19 @@
     out, sink = os.pipe()
     now = [0.0]
     log = Log("n1", sink, lambda: now[0])
-    for _ in range(3 * MOST):
+    for _ in range(3 * MAX_LINES_PER_WINDOW):
         log.event("link-fault", "seen")
     log.fault("txn-fault", ValueError("two\nlines"))
     now[0] = 60.0
     log.event("later")
     lines = [orjson.loads(line) for line in os.read(out, 1 << 20).splitlines()]
-    assert len(lines) == MOST + 3 and lines[-2] | {"t": 0} == {
+    assert len(lines) == MAX_LINES_PER_WINDOW + 3 and lines[-2] | {"t": 0} == {
         "t": 0,
         "who": "n1",
         "event": "held-back",
         "code": "seen",
         "of": "link-fault",
-        "lines": 2 * MOST,
+        "lines": 2 * MAX_LINES_PER_WINDOW,
     }
     while not log.dropped:  # a full pipe must neither block nor raise
         log.event(f"more-{now[0]}", "code", text="x" * 1_000)
@@ -758,7 +758,7 @@
 
 
 def test_connection_attempt_to_an_outdated_kernel_address_is_dropped() -> None:
-    net = Net()
+    net = InstanceHarness()
     net.file |= NEW_ADDRESSES
     net.instance.reload()
     late = net.connect("127.0.1.1")
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -19,7 +19,7 @@
 
 import orjson
 import pytest
-from helpers import MOST, PLAIN, SAMPLE, until
+from helpers import BRAIN_SETTINGS, MAX_WAIT_S, SAMPLE_CONFIG, until
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 from loopback import CallerEnd, KernelEnd, RemoteEnd, address, bound_socket, free_address
@@ -118,7 +118,7 @@
     work."""
     seed = 1_000 * count + work
     rng = random.Random(seed)
-    instance_settings = PLAIN | {
+    instance_settings = BRAIN_SETTINGS | {
         "products.0.sla_time": 1_500_000,
         "instance.skip_values": [0.0],
         "instance.cold": True,
@@ -164,7 +164,7 @@
     """Callers that know their allowance use all of it, its fraction with that probability. There may be more
     callers than in the settings, and they may appear gradually or all at once."""
     rng = random.Random(seed)
-    instance_settings = PLAIN | {
+    instance_settings = BRAIN_SETTINGS | {
         "instance.say": "allowance",
         "instance.cold": True,
         "instance.cores": cores,
@@ -232,7 +232,7 @@
     say: str, start: float, seed: int
 ) -> None:
     rng = random.Random(seed)
-    instance_settings = PLAIN | {
+    instance_settings = BRAIN_SETTINGS | {
         "instance.say": say,
         "instance.cold": True,
         "rules.cold_from": start,
@@ -261,7 +261,7 @@
 
 def test_an_idle_cold_instance_advertises_its_ramp_and_a_warm_one_full_capacity() -> None:
     for cold, minimum, maximum in ((True, 0.3, 0.45), (False, 1.0, 1.0)):
-        instance_settings = PLAIN | {
+        instance_settings = BRAIN_SETTINGS | {
             "instance.say": "weight",
             "rules.cold_from": 0.25,
             "rules.ramp_time": RAMP,
@@ -286,8 +286,8 @@
         self.number, self.folder = number, folder
         self.kernel_listener = bound_socket()
         self.kernel_listener.listen(4)
-        self.kernel_listener.settimeout(MOST)
-        info = SAMPLE["settings"]["familyInfo"] | {
+        self.kernel_listener.settimeout(MAX_WAIT_S)
+        info = SAMPLE_CONFIG["settings"]["familyInfo"] | {
             "callsOut": share,
             "callsOver": PROCESS_WINDOW,
             "linger": 100_000,
@@ -296,13 +296,13 @@
             "cpus": 4,
             "memoryKb": 100_000.0,
         }
-        self.config = SAMPLE | {
+        self.config = SAMPLE_CONFIG | {
             "name": f"n{number}",
             "listen": free_address(),
             "kernel": address(self.kernel_listener),
             "records": ledger,
             "roster": roster,
-            "settings": SAMPLE["settings"] | {"familyInfo": info, "groupSize": count},
+            "settings": SAMPLE_CONFIG["settings"] | {"familyInfo": info, "groupSize": count},
         }
         self.path = folder / f"{number}.json"
         self.path.write_bytes(orjson.dumps(self.config))
@@ -369,7 +369,7 @@
         if self.caller is None:
             host, _, port = str(self.config["listen"]).rpartition(":")
             try:
-                self.caller = CallerEnd(socket.create_connection((host, int(port)), timeout=MOST))
+                self.caller = CallerEnd(socket.create_connection((host, int(port)), timeout=MAX_WAIT_S))
             except OSError:
                 return False
             self.caller.send_heartbeat()
@@ -478,7 +478,7 @@
         for machine in machines:
             machine.kill()
         ledger.stop_requested.set()
-        ledger.thread.join(MOST)
+        ledger.thread.join(MAX_WAIT_S)
     print(f"ready: nine in ten within {delays[int(0.9 * count) - 1]:.2f} s, all within {delays[-1]:.2f} s")
     assert delays[int(0.9 * count) - 1] < 10.0, "nine in ten are ready within 10 s"
     spans = [(int((begin - began) * 1e6), int((end - began) * 1e6)) for begin, end in ledger.spans]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 import pytest
-from helpers import FacadeHost, FarKernel, Host, Net
+from helpers import BrainHost, FacadeHost, FakeKernel, InstanceHarness
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 from twisted.python.failure import Failure
@@ -28,7 +28,7 @@
 CALL_OUTCOMES = [Outcome.OK, Outcome.OK, Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET]
 
 
-def step(host: Host, rng: random.Random) -> None:
+def step(host: BrainHost, rng: random.Random) -> None:
     draw = rng.random()
     if draw < 0.45:
         key = f"ref-{rng.randrange(6)}" if host.settings["products.0.kind"] == "referenced" else ""
@@ -41,40 +41,40 @@
             caller=rng.randrange(3),
             resent=rng.random() < 0.2,
         )
-    elif draw < 0.65 and (running := host.at(Stage.RUNNING)):
+    elif draw < 0.65 and (running := host.in_stages(Stage.RUNNING)):
         host.finish(rng.choice(running), rng.choice(CALL_OUTCOMES[:3]))
-    elif draw < 0.8 and (running := host.at(Stage.RUNNING)):
-        host.needs(rng.choice(running))
-    elif draw < 0.92 and (calling := host.at(Stage.CALLING)):
+    elif draw < 0.8 and (running := host.in_stages(Stage.RUNNING)):
+        host.request_call(rng.choice(running))
+    elif draw < 0.92 and (calling := host.in_stages(Stage.CALLING)):
         host.call_ends(rng.choice(calling), rng.choice(CALL_OUTCOMES))
-    elif draw < 0.94 and (active := host.at(Stage.HELD, Stage.PARKED, Stage.RUNNING)):
-        host.go(rng.choice(active))
+    elif draw < 0.94 and (active := host.in_stages(Stage.HELD, Stage.PARKED, Stage.RUNNING)):
+        host.abandon(rng.choice(active))
     elif draw < 0.97:
-        joined = [txn for txn in host.at(Stage.JOINED) if txn.prior and txn.prior.stage == Stage.OVER]
+        joined = [txn for txn in host.in_stages(Stage.JOINED) if txn.prior and txn.prior.stage == Stage.OVER]
         for txn in joined[:1]:
             host.finish(txn, Outcome.OK if txn.prior and txn.prior.settled else Outcome.ERROR)
 
 
-@pytest.mark.parametrize("kind", [Host, FacadeHost])
+@pytest.mark.parametrize("kind", [BrainHost, FacadeHost])
 @pytest.mark.parametrize("changes", SETTINGS_VARIANTS, ids=lambda c: "-".join(str(v) for v in c.values()))
 @settings(derandomize=True, max_examples=16, deadline=None, suppress_health_check=list(HealthCheck))
 @given(seed=st.integers(0, 10**6), drain=st.sampled_from([0, 250_000, 1_500_000]))
 def test_rules_hold_after_every_step(
-    kind: type[Host], changes: dict[str, object], seed: int, drain: int
+    kind: type[BrainHost], changes: dict[str, object], seed: int, drain: int
 ) -> None:
     host, rng = kind(**changes), random.Random(seed)
     for number in range(260):
         if number == 200 and drain:
-            host.left, stop = host.now, host.now + drain
+            host.left_at, stop = host.now, host.now + drain
             host.leave(drain)
         for _ in range(rng.randrange(4)):
             step(host, rng)
-        for txn in host.at(Stage.PARKED, Stage.CALLING):
+        for txn in host.in_stages(Stage.PARKED, Stage.CALLING):
             if txn.answered:
                 host.finish(txn, Outcome.CANCELLED)
-        host.pull()
+        host.apply_decisions()
         host.pass_time(rng.choice([5_000, 20_000, 90_000]), rng.random(), rng.randrange(12))
-        if host.left is not None and host.now >= stop - 100_000:
+        if host.left_at is not None and host.now >= stop - 100_000:
             assert all(host.over(txn) for txn in host.txns), "drain: unanswered at the stop"
             return
 
@@ -82,21 +82,21 @@
 @settings(derandomize=True, max_examples=12, deadline=None, suppress_health_check=list(HealthCheck))
 @given(seed=st.integers(0, 10**6))
 def test_calls_in_flight_stay_within_a_changing_share(seed: int) -> None:
-    host, rng, share, highest = Host(instance__cores=8), random.Random(seed), 0, 0
+    host, rng, share, highest = BrainHost(instance__cores=8), random.Random(seed), 0, 0
     for number in range(200):
         if number % 20 == 0:
             share = rng.choice((0, 1, 2, 3, 9)) if number else 9
             host.brain.set_call_share(host.now, share)
         before = set(host.calls)
         for _ in range(3):
-            host.take(max_wait=900_000)
-        for txn in host.at(Stage.RUNNING)[:4]:
-            host.needs(txn)
-        host.pull()
+            host.submit(max_wait=900_000)
+        for txn in host.in_stages(Stage.RUNNING)[:4]:
+            host.request_call(txn)
+        host.apply_decisions()
         if set(host.calls) - before:
             assert len(host.calls) <= share
             highest = max(highest, len(host.calls))
-        for txn in host.at(Stage.CALLING):
+        for txn in host.in_stages(Stage.CALLING):
             if rng.random() < 0.3:
                 host.call_ends(txn, Outcome.OK)
                 if txn.stage is Stage.RUNNING:
@@ -110,8 +110,8 @@
     over time that every request gets its one answer before it is due."""
 
     def __init__(self, seed: int) -> None:
-        self.rng, self.net = random.Random(seed), Net()
-        self.kernel = FarKernel(self.net)
+        self.rng, self.net = random.Random(seed), InstanceHarness()
+        self.kernel = FakeKernel(self.net)
         self.callers: list[Any] = []
         self.ledger_connections: list[Any] = []
         self.closed_callers: list[Any] = []
@@ -225,7 +225,7 @@
             if connection.transport.disconnected:
                 self.ledger_connections.remove(connection)
                 net.lose(connection)
-            elif not connection.way.call.over and rng.random() < 0.5:
+            elif not connection.connection.call.over and rng.random() < 0.5:
                 draw = rng.random()
                 if draw < 0.1:
                     self.ledger_connections.remove(connection)
@@ -262,10 +262,10 @@
 
 def test_the_same_events_give_the_same_decisions() -> None:
     def run() -> list[str]:
-        host, rng = Host(instance__say="weight"), random.Random(3)
+        host, rng = BrainHost(instance__say="weight"), random.Random(3)
         for _ in range(200):
             step(host, rng)
-            host.pull()
+            host.apply_decisions()
             host.pass_time(20_000, 1.0, 6)
         return [f"{d.verb}{d.txn.ref if d.txn else ''}{d.us}{d.level}" for d in host.seen]
 
--- a/tests/test_unread.py
+++ b/tests/test_unread.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 import pytest
-from helpers import MOST
+from helpers import MAX_WAIT_S
 from loopback import CallerEnd, SteppedInstance, stepped
 
 from limeridge.net.callers import (
@@ -164,7 +164,7 @@
             s.wait_until("the first half", lambda: connection.frames.has_partial_frame)
             message = message[20:]
         remote.write(message)
-        assert select.select([connection.transport.socket], [], [], MOST)[0], "it has not arrived"
+        assert select.select([connection.transport.socket], [], [], MAX_WAIT_S)[0], "it has not arrived"
         clock.ahead += max(MESSAGE_TIMEOUT_S, CLOSE_TIMEOUT_S) + 0.1
         s.instance.callers.sweep()
         answer_all(s, {ref: remote})
