--- a/limeridge/duty/words.py
+++ b/limeridge/duty/words.py
@@ -1,4 +1,4 @@
-"""What is said about duties, between members: bodies of `peers.messages.Word`.
+"""What is said about duties, between members: bodies of `peers.messages.DelegateMessage`.
 
 It owns the types and their encoding. It must never judge.
 """
--- a/limeridge/peers/delegates.py
+++ b/limeridge/peers/delegates.py
@@ -8,10 +8,17 @@
 from typing import Protocol
 
 from limeridge.peers.members import Claim, Members, State
-from limeridge.peers.messages import CLAIM_BYTES, DATAGRAM_MOST, HEAD_BYTES, Word
+from limeridge.peers.messages import (
+    CLAIM_FIXED_BYTES,
+    MAX_DATAGRAM_BYTES,
+    MESSAGE_OVERHEAD_BYTES,
+    DelegateMessage,
+)
 from limeridge.peers.outbox import Event, Outbox
 
-WORD_MOST = DATAGRAM_MOST - HEAD_BYTES - CLAIM_BYTES - 200  # bytes of a delegate's body
+WORD_MOST = (
+    MAX_DATAGRAM_BYTES - MESSAGE_OVERHEAD_BYTES - CLAIM_FIXED_BYTES - 200
+)  # bytes of a delegate's body
 
 
 class Delegate(Protocol):
@@ -58,7 +65,7 @@
                 self.by_kind[kind].wake(self._names(), unix, now)
                 self._carry(self.by_kind[kind], now)
 
-    def heard(self, word: Word, unix: int, now: int) -> None:
+    def heard(self, word: DelegateMessage, unix: int, now: int) -> None:
         """Passes a word on to the delegate that it is for, if there is such a delegate."""
         delegate = self.by_kind.get(word.kind)
         if delegate is not None and not self.members.leaving:
@@ -80,13 +87,13 @@
         out, delegate.out = delegate.out, []
         for name, body in out:
             if len(body) <= WORD_MOST:
-                self._send(name, Word(self.members.own, delegate.kind, body))
+                self._send(name, DelegateMessage(self.members.own, delegate.kind, body))
         self.outbox.log_all(delegate.events)
         delegate.events = []
         if delegate.kind in self.wake_at:
             self.wake_at[delegate.kind] = delegate.next_at(now)
 
-    def _send(self, name: str, word: Word) -> None:
+    def _send(self, name: str, word: DelegateMessage) -> None:
         """To one member, or to all where `name` is empty."""
         for claim in self.members.others(State.ALIVE, State.SUSPECT):
             if not name or claim.name == name:
--- a/limeridge/peers/dissemination.py
+++ b/limeridge/peers/dissemination.py
@@ -10,8 +10,15 @@
 from dataclasses import dataclass
 from itertools import islice
 
-from limeridge.peers.members import Claim, Members, State, bytes_of
-from limeridge.peers.messages import CLAIM_BYTES, DATAGRAM_MOST, HEAD_BYTES, Accusal, Ack, Ping
+from limeridge.peers.members import Claim, Members, State, utf8_length
+from limeridge.peers.messages import (
+    CLAIM_FIXED_BYTES,
+    MAX_DATAGRAM_BYTES,
+    MESSAGE_OVERHEAD_BYTES,
+    Accusation,
+    Ack,
+    Ping,
+)
 from limeridge.peers.probing import Detector
 from limeridge.peers.reach import Reach
 
@@ -25,7 +32,7 @@
     """What goes along with one ping or ack."""
 
     claims: tuple[Claim, ...]
-    accusals: tuple[Accusal, ...]
+    accusals: tuple[Accusation, ...]
     misses: tuple[str, ...]  # names whose answers do not reach this member
 
 
@@ -34,9 +41,9 @@
 
     def __init__(self, members: Members, detector: Detector, reach: Reach) -> None:
         self.members, self.detector, self.reach = members, detector, reach
-        self.accusals: dict[Accusal, int] = {}  # how often each was told
+        self.accusals: dict[Accusation, int] = {}  # how often each was told
 
-    def accuse(self, accusal: Accusal) -> None:
+    def accuse(self, accusal: Accusation) -> None:
         """Takes an accusation, our own or one that was heard; it is told on if it is new."""
         new = self.detector.accused(accusal.name, accusal.life, accusal.incarnation, accusal.by)
         if new and len(self.accusals) < ACCUSALS_KEPT:
@@ -63,26 +70,28 @@
         sender, members = ping.own, self.members
         held = members.get(sender.name)
         # What we hold against it goes first, so that it can refute, or raise the number of its life.
-        first = [sender.name] if held is not None and held.overrules(sender) else []
+        first = [sender.name] if held is not None and held.supersedes(sender) else []
         news = self._piggyback(first)
         own = members.own
         return Ack(ping.seq, own, own.name, members.digest, news.claims, news.accusals, news.misses)
 
     def _piggyback(self, first: Iterable[str]) -> Piggyback:
-        room = DATAGRAM_MOST - HEAD_BYTES - CLAIM_BYTES - self.members.own.texts
+        room = MAX_DATAGRAM_BYTES - MESSAGE_OVERHEAD_BYTES - CLAIM_FIXED_BYTES - self.members.own.text_bytes
         misses = self._misses()
-        room -= sum(bytes_of(name) + 3 for name in misses)
+        room -= sum(utf8_length(name) + 3 for name in misses)
         accusals = self._accusals(room)
         room -= sum(map(_size, accusals))
-        return Piggyback(tuple(self.members.to_tell(room, CLAIM_BYTES, first)), tuple(accusals), misses)
+        return Piggyback(
+            tuple(self.members.select_updates(room, CLAIM_FIXED_BYTES, first)), tuple(accusals), misses
+        )
 
     def _misses(self) -> tuple[str, ...]:
         there = sorted(claim.name for claim in self.members.others(State.ALIVE, State.SUSPECT))
         return tuple(islice(self.reach.misses(there), MISSES_MOST))
 
-    def _accusals(self, room: int) -> list[Accusal]:
+    def _accusals(self, room: int) -> list[Accusation]:
         """The least told first, in up to about half of `room` bytes; each counts as told."""
-        chosen: list[Accusal] = []
+        chosen: list[Accusation] = []
         for accusal in sorted(self.accusals, key=lambda each: (self.accusals[each], each.name, each.by)):
             takes = _size(accusal)
             if len(chosen) >= ACCUSALS_MOST or takes > room // 2:  # half is left for claims
@@ -90,11 +99,11 @@
             chosen.append(accusal)
             room -= takes
             self.accusals[accusal] += 1
-            if self.accusals[accusal] >= self.members.tell_most():
+            if self.accusals[accusal] >= self.members.transmission_limit():
                 del self.accusals[accusal]
         return chosen
 
 
-def _size(accusal: Accusal) -> int:
+def _size(accusal: Accusation) -> int:
     """Bytes on the wire, at the most."""
-    return CLAIM_BYTES + bytes_of(accusal.name) + bytes_of(accusal.by)
+    return CLAIM_FIXED_BYTES + utf8_length(accusal.name) + utf8_length(accusal.by)
--- a/limeridge/peers/link.py
+++ b/limeridge/peers/link.py
@@ -33,7 +33,15 @@
 from limeridge.duty.member import Declared, Duties
 from limeridge.peers.gate import Gate
 from limeridge.peers.members import Address, Claim
-from limeridge.peers.messages import DATAGRAM_MOST, STREAM_MOST, Foreign, Message, Table, decode, encode
+from limeridge.peers.messages import (
+    MAX_DATAGRAM_BYTES,
+    MAX_STREAM_BYTES,
+    InvalidMessageError,
+    Message,
+    Table,
+    decode,
+    encode,
+)
 from limeridge.peers.peer import Peer, own_claim
 from limeridge.peers.seeds import Patience, Seeker
 from limeridge.peers.setup import PeerSetup
@@ -94,7 +102,7 @@
     def datagramReceived(self, data: bytes, addr: Any) -> None:
         """Called by Twisted for each part of service discovery's answer; counts what is none."""
         words = data.decode("ascii", "replace").split(" ")
-        if len(data) > DATAGRAM_MOST or words[0] != "LISTED":
+        if len(data) > MAX_DATAGRAM_BYTES or words[0] != "LISTED":
             self.link.counts["list-strange"] += 1
             return
         self.link.listed(words[1:])
@@ -107,7 +115,7 @@
 class Stream(Int32StringReceiver):
     """One exchange of tables."""
 
-    MAX_LENGTH = STREAM_MOST
+    MAX_LENGTH = MAX_STREAM_BYTES
     transport: Any
 
     def __init__(self, link: Link, message: Message | None) -> None:
@@ -139,7 +147,7 @@
         self.transport.loseConnection()
 
     def lengthLimitExceeded(self, length: int) -> None:
-        """Called by Twisted where a message is announced that is longer than STREAM_MOST."""
+        """Called by Twisted where a message is announced that is longer than MAX_STREAM_BYTES."""
         self.end("too-long")
 
     def end(self, code: str) -> None:
@@ -409,7 +417,7 @@
         """None for what is not ours, counted by its code."""
         try:
             return decode(data, self.key)
-        except Foreign as foreign:
+        except InvalidMessageError as foreign:
             self.counts[f"foreign-{foreign}"] += 1
             return None
 
@@ -443,7 +451,7 @@
             )
             return
         data = encode(message, self.key)
-        if len(data) > DATAGRAM_MOST:
+        if len(data) > MAX_DATAGRAM_BYTES:
             self.counts["too-long"] += 1
             return
         if self.datagrams is not None and self.datagrams.transport is not None:
@@ -526,7 +534,7 @@
             "missed_by": peer.reach.missed_by(peer.own.name, now),
             "doubt": peer.detector.doubt,
             "stalls": peer.detector.stalls,
-            "name_taken": peer.members.yields,
+            "name_taken": peer.members.must_yield_name,
             "members": members,
             "counts": dict(self.counts),
         }
--- a/limeridge/peers/members.py
+++ b/limeridge/peers/members.py
@@ -22,10 +22,10 @@
 from limeridge.peers.digest import digest_of
 
 Address = tuple[str, int]  # host and port
-TELL_FACTOR = 3  # a claim is told this many times the logarithm of the members (SWIM, section 4.1)
+RETRANSMIT_FACTOR = 3  # a claim is told this many times the logarithm of the members (SWIM, section 4.1)
 
 
-def bytes_of(text: str) -> int:
+def utf8_length(text: str) -> int:
     """Length in UTF-8."""
     return len(text) if text.isascii() else len(text.encode())
 
@@ -71,9 +71,14 @@
         return self.host, self.port
 
     @property
-    def texts(self) -> int:
+    def text_bytes(self) -> int:
         """Bytes of them, for its size on the wire."""
-        return bytes_of(self.name) + bytes_of(self.host) + bytes_of(self.zone) + bytes_of(self.version)
+        return (
+            utf8_length(self.name)
+            + utf8_length(self.host)
+            + utf8_length(self.zone)
+            + utf8_length(self.version)
+        )
 
     @property
     def rank(self) -> tuple[Life, int, int]:
@@ -81,7 +86,7 @@
         left = self.state is State.LEFT
         return self.life, (1 << 62) if left else self.incarnation, int(self.state)
 
-    def overrules(self, other: Claim | None) -> bool:
+    def supersedes(self, other: Claim | None) -> bool:
         """Whether it takes the place of `other`, a claim under the same name, or of none."""
         return other is None or self.rank > other.rank
 
@@ -95,7 +100,7 @@
 
 
 @dataclass(slots=True)
-class News:
+class QueuedUpdate:
     """A claim on its way round: how often it was told from here."""
 
     claim: Claim
@@ -109,14 +114,14 @@
     own: Claim
     table: dict[str, Claim] = field(default_factory=dict)
     since: dict[str, int] = field(default_factory=dict)  # when the state of each last changed here
-    news: dict[str, News] = field(default_factory=dict)
+    news: dict[str, QueuedUpdate] = field(default_factory=dict)
     conflict: Claim | None = None  # another live process under our name, as last heard
     _digest: int = 0
 
     def __post_init__(self) -> None:
         self.table[self.own.name] = self.own
         self.since[self.own.name] = 0
-        self.news[self.own.name] = News(self.own)
+        self.news[self.own.name] = QueuedUpdate(self.own)
         self._digest ^= digest_of(self.own)
 
     # ---- merging
@@ -127,12 +132,12 @@
         if claim.name == self.own.name:
             return None
         old = self.table.get(claim.name)
-        if not claim.overrules(old):
+        if not claim.supersedes(old):
             return None
         self._put(claim, now)
         return Change(old, claim)
 
-    def answer_to(self, claim: Claim, now: int) -> Change | None:
+    def reconcile_own_claim(self, claim: Claim, now: int) -> Change | None:
         """A claim under our own name. A suspicion of this life is refuted by a higher incarnation. A life
         that seems newer than ours and had our address is over, for we hold that address: our number is
         raised above its. One at another address may live: a conflict, until somebody holds it gone."""
@@ -142,26 +147,26 @@
         if claim.life == old.life:
             if old.state is State.LEFT or claim.state is State.ALIVE or claim.incarnation < old.incarnation:
                 return None
-            return self.restate(replace(old, incarnation=claim.incarnation + 1), now)
+            return self.replace_own_claim(replace(old, incarnation=claim.incarnation + 1), now)
         elsewhere = (claim.host, claim.port) != (old.host, old.port)
         if elsewhere and claim.state in (State.ALIVE, State.SUSPECT):
-            if self.conflict is None or claim.overrules(self.conflict):
+            if self.conflict is None or claim.supersedes(self.conflict):
                 self.conflict = claim
             return None
-        if self.conflict is not None and claim.overrules(self.conflict):
+        if self.conflict is not None and claim.supersedes(self.conflict):
             self.conflict = None
         if claim.life > old.life and old.state is not State.LEFT:
             raised = Life(claim.life.number + 1, old.life.nonce)
-            return self.restate(replace(old, life=raised, incarnation=0), now)
+            return self.replace_own_claim(replace(old, life=raised, incarnation=0), now)
         return None
 
     @property
-    def yields(self) -> bool:
+    def must_yield_name(self) -> bool:
         """Whether another live process under our name has the better claim to it. Both decide alike: the
         greater life has the name."""
         return self.conflict is not None and self.conflict.life > self.own.life
 
-    def restate(self, claim: Claim, now: int) -> Change:
+    def replace_own_claim(self, claim: Claim, now: int) -> Change:
         """What we say of ourselves from now on; told anew."""
         old, self.own = self.own, claim
         self._put(claim, now)
@@ -175,9 +180,9 @@
             self.since[claim.name] = now
         self._digest ^= digest_of(claim)
         self.table[claim.name] = claim
-        self.news[claim.name] = News(claim)
+        self.news[claim.name] = QueuedUpdate(claim)
 
-    def forget(self, now: int, after: int) -> list[Claim]:
+    def remove_expired(self, now: int, after: int) -> list[Claim]:
         """Drops those who have been gone for `after` microseconds. A life that comes up again later, out of
         some table that kept it, is news of one who is gone and hurts nobody."""
         old = [
@@ -221,11 +226,11 @@
 
     # ---- telling
 
-    def tell_most(self) -> int:
+    def transmission_limit(self) -> int:
         """How often a change is told by each member, with as many members as are held now."""
-        return TELL_FACTOR * max(1, len(self.table).bit_length())
+        return RETRANSMIT_FACTOR * max(1, len(self.table).bit_length())
 
-    def to_tell(self, room: int, size: int, first: Iterable[str] = ()) -> list[Claim]:
+    def select_updates(self, room: int, size: int, first: Iterable[str] = ()) -> list[Claim]:
         """Up to `room` bytes of news at `size` and its texts' lengths each, those of `first` ahead, then the
         least told; each counts as told."""
         ahead = [name for name in first if name in self.table]
@@ -237,7 +242,7 @@
         )
         chosen: list[Claim] = []
         for claim in [*(self.table[name] for name in ahead), *(news.claim for news in rest)]:
-            takes = size + claim.texts
+            takes = size + claim.text_bytes
             if takes > room:
                 break
             room -= takes
@@ -245,6 +250,6 @@
             news = self.news.get(claim.name)
             if news is not None:
                 news.told += 1
-                if news.told >= self.tell_most():
+                if news.told >= self.transmission_limit():
                     del self.news[claim.name]
         return chosen
--- a/limeridge/peers/messages.py
+++ b/limeridge/peers/messages.py
@@ -2,7 +2,7 @@
 behind a keyed BLAKE2 tag.
 
 It owns the messages, their encoding and the tag. It must never act on a message. What can't be read, is not
-of this fleet or carries another tag is one exception, `Foreign`, with a reason code to be counted.
+of this fleet or carries another tag is one exception, `InvalidMessageError`, with a reason code.
 
 A datagram is the tag (16 bytes), then the message. The key is the digest of the fleet's name and the key
 file, so that fleets that share a network don't mix. Nothing here keeps a recorded message from being sent
@@ -20,14 +20,14 @@
 
 from limeridge.peers.members import Claim, Life
 
-DATAGRAM_MOST = 1_200  # bytes; below what any way in use takes in one piece
-STREAM_MOST = 1 << 20  # bytes of one message over TCP
-TAG = 16
-CLAIM_BYTES = 52  # of a claim on the wire, its texts aside, at the most
-HEAD_BYTES = 128  # of a message's other fields, a name of 64 among them, and its tag
+MAX_DATAGRAM_BYTES = 1_200  # bytes; below what any way in use takes in one piece
+MAX_STREAM_BYTES = 1 << 20  # bytes of one message over TCP
+TAG_BYTES = 16
+CLAIM_FIXED_BYTES = 52  # of a claim on the wire, its texts aside, at the most
+MESSAGE_OVERHEAD_BYTES = 128  # of a message's other fields, a name of 64 among them, and its tag
 
 
-class Accusal(Struct, frozen=True, array_like=True):
+class Accusation(Struct, frozen=True, array_like=True):
     """`by` has had no answer from this life of `name`. Several accusers shorten the suspicion."""
 
     name: str
@@ -44,7 +44,7 @@
     to: str
     digest: int
     news: tuple[Claim, ...] = ()
-    accusals: tuple[Accusal, ...] = ()
+    accusals: tuple[Accusation, ...] = ()
     misses: tuple[str, ...] = ()  # names whose answers do not reach the sender
 
 
@@ -57,7 +57,7 @@
     of: str
     digest: int
     news: tuple[Claim, ...] = ()
-    accusals: tuple[Accusal, ...] = ()
+    accusals: tuple[Accusation, ...] = ()
     misses: tuple[str, ...] = ()
 
 
@@ -68,7 +68,7 @@
     own: Claim
 
 
-class Ask(Struct, frozen=True, array_like=True, tag="q"):
+class PingRequest(Struct, frozen=True, array_like=True, tag="q"):
     """Please probe `to` for me."""
 
     seq: int
@@ -112,7 +112,7 @@
     answer: bool
 
 
-class Word(Struct, frozen=True, array_like=True, tag="w"):
+class DelegateMessage(Struct, frozen=True, array_like=True, tag="w"):
     """What is said by another part that members carry, `kind`, in its own form."""
 
     own: Claim
@@ -120,16 +120,16 @@
     body: bytes
 
 
-Message = Word | Ping | Ack | Nack | Ask | Renew | Support | Offer | Table
+Message = DelegateMessage | Ping | Ack | Nack | PingRequest | Renew | Support | Offer | Table
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(Message)
 
 
-class Foreign(Exception):
+class InvalidMessageError(Exception):
     """Not a message of this fleet; the text is a reason code."""
 
 
-def key_of(fleet: str, secret: bytes) -> bytes:
+def derive_key(fleet: str, secret: bytes) -> bytes:
     """The 32 bytes that datagrams and streams are tagged with, from the name of the fleet and its secret."""
     return blake2b(secret, key=fleet.encode()[:64], digest_size=32).digest()
 
@@ -137,18 +137,18 @@
 def encode(message: Message, key: bytes) -> bytes:
     """The bytes of a message, its tag ahead."""
     body = _encoder.encode(message)
-    return blake2b(body, key=key, digest_size=TAG).digest() + body
+    return blake2b(body, key=key, digest_size=TAG_BYTES).digest() + body
 
 
 def decode(data: bytes, key: bytes) -> Message:
-    """Raises Foreign: `short`, `tag` or `garbled`."""
-    if len(data) <= TAG:
-        raise Foreign("short")
-    body = data[TAG:]
-    if not compare_digest(blake2b(body, key=key, digest_size=TAG).digest(), data[:TAG]):
-        raise Foreign("tag")
+    """Raises InvalidMessageError: `short`, `tag` or `garbled`."""
+    if len(data) <= TAG_BYTES:
+        raise InvalidMessageError("short")
+    body = data[TAG_BYTES:]
+    if not compare_digest(blake2b(body, key=key, digest_size=TAG_BYTES).digest(), data[:TAG_BYTES]):
+        raise InvalidMessageError("tag")
     try:
         message: Message = _decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as trouble:
-        raise Foreign("garbled") from trouble
+        raise InvalidMessageError("garbled") from trouble
     return message
--- a/limeridge/peers/peer.py
+++ b/limeridge/peers/peer.py
@@ -18,7 +18,18 @@
 from limeridge.peers.dissemination import Dissemination
 from limeridge.peers.habits import Habits
 from limeridge.peers.members import Address, Claim, Life, Members, State
-from limeridge.peers.messages import Ack, Ask, Message, Nack, Offer, Ping, Renew, Support, Table, Word
+from limeridge.peers.messages import (
+    Ack,
+    DelegateMessage,
+    Message,
+    Nack,
+    Offer,
+    Ping,
+    PingRequest,
+    Renew,
+    Support,
+    Table,
+)
 from limeridge.peers.observer import Observer
 from limeridge.peers.outbox import Event, Outbox, Send
 from limeridge.peers.prober import Prober
@@ -135,7 +146,7 @@
             self.discovery.wake(now)
             self.tables.wake(now)
         self.relays.expire(now)
-        for claim in self.members.forget(now, self.habits.remember):
+        for claim in self.members.remove_expired(now, self.habits.remember):
             self._forget(claim.name)
         self.delegates.wake(self.unix, now)
         self.observer.wake(now)
@@ -145,9 +156,9 @@
         if self.leaving:
             return
         self.delegates.leave(now)
-        self.updates.changed(self.members.restate(replace(self.own, state=State.LEFT), now), now)
+        self.updates.changed(self.members.replace_own_claim(replace(self.own, state=State.LEFT), now), now)
         others = sorted(self.members.others(State.ALIVE, State.SUSPECT), key=lambda claim: claim.name)
-        most = self.members.tell_most()
+        most = self.members.transmission_limit()
         for claim in self.chance.sample(others, min(len(others), most)):
             self.outbox.send(claim, Ping(0, self.own, claim.name, self.members.digest))
 
@@ -167,7 +178,7 @@
         self.updates.merge(sender, now)
         if isinstance(message, Table):
             return self._heard_table(message, now)
-        if isinstance(message, Word):
+        if isinstance(message, DelegateMessage):
             self.delegates.heard(message, self.unix, now)
         elif isinstance(message, Renew | Support | Offer):
             self._heard_of_shares(message, now)
@@ -175,7 +186,7 @@
             self._heard_probe(message, now)
         return None
 
-    def _heard_probe(self, message: Ping | Ack | Nack | Ask, now: int) -> None:
+    def _heard_probe(self, message: Ping | Ack | Nack | PingRequest, now: int) -> None:
         if isinstance(message, Ping | Ack):
             self._take_news(message, now)
         if isinstance(message, Ping):
--- a/limeridge/peers/prober.py
+++ b/limeridge/peers/prober.py
@@ -11,7 +11,7 @@
 from limeridge.peers import probing
 from limeridge.peers.dissemination import Dissemination
 from limeridge.peers.members import Members, State
-from limeridge.peers.messages import Accusal, Ack, Ask, Nack, Ping
+from limeridge.peers.messages import Accusation, Ack, Nack, Ping, PingRequest
 from limeridge.peers.outbox import Outbox
 from limeridge.peers.probing import Detector
 from limeridge.peers.reach import Reach
@@ -72,14 +72,14 @@
         elif isinstance(act, probing.Accuse):
             target, own = act.target, self.members.own
             self.updates.merge(replace(target, state=State.SUSPECT), now)
-            self.dissemination.accuse(Accusal(target.name, target.life, target.incarnation, own.name))
+            self.dissemination.accuse(Accusation(target.name, target.life, target.incarnation, own.name))
         else:
             self.updates.merge(replace(act.target, state=State.DEAD), now)
 
     def _probe(self, probe: probing.Probe, now: int) -> None:
         target = probe.target
         if probe.helper is not None:
-            ask = Ask(probe.seq, self.members.own, target.name, target.host, target.port)
+            ask = PingRequest(probe.seq, self.members.own, target.name, target.host, target.port)
             self.outbox.send(probe.helper, ask)
             return
         self.outbox.send(target, self.dissemination.ping(target, probe.seq))
--- a/limeridge/peers/relays.py
+++ b/limeridge/peers/relays.py
@@ -10,7 +10,7 @@
 
 from limeridge.peers.dissemination import Dissemination
 from limeridge.peers.members import Claim, Members
-from limeridge.peers.messages import Ack, Ask, Nack
+from limeridge.peers.messages import Ack, Nack, PingRequest
 from limeridge.peers.outbox import Outbox
 
 RELAYS_MOST = 64  # probes in hand for others
@@ -41,7 +41,7 @@
         """When each probe in hand runs out, microseconds."""
         return [relay.until for relay in self.open.values()]
 
-    def begin(self, ask: Ask, now: int) -> None:
+    def begin(self, ask: PingRequest, now: int) -> None:
         """Probes the target that `ask` names; refuses where RELAYS_MOST are in hand."""
         if len(self.open) >= RELAYS_MOST:
             self.outbox.send(ask.own, Nack(ask.seq, self.members.own))
--- a/limeridge/peers/setup.py
+++ b/limeridge/peers/setup.py
@@ -15,7 +15,7 @@
 from limeridge.duty.seek import Waits
 from limeridge.peers.habits import Habits
 from limeridge.peers.members import Address
-from limeridge.peers.messages import key_of
+from limeridge.peers.messages import derive_key
 from limeridge.peers.shares import Terms
 from limeridge.settings import peers_pb2 as pb
 from limeridge.settings.load import Checked, load
@@ -212,7 +212,7 @@
         message.zone,
         tuple(map(_plain, message.seed)),
         message.show,
-        key_of(message.fleet, Path(message.key_file).read_bytes().strip()),
+        derive_key(message.fleet, Path(message.key_file).read_bytes().strip()),
         habits,
         _terms(shares) if shares is not None else None,
         int(shares.linger_ms * MS) if shares is not None and shares.linger_ms else -1,
--- a/limeridge/peers/share_exchange.py
+++ b/limeridge/peers/share_exchange.py
@@ -7,8 +7,15 @@
 
 from collections.abc import Callable
 
-from limeridge.peers.members import Claim, Members, State, bytes_of
-from limeridge.peers.messages import CLAIM_BYTES, DATAGRAM_MOST, HEAD_BYTES, Offer, Renew, Support
+from limeridge.peers.members import Claim, Members, State, utf8_length
+from limeridge.peers.messages import (
+    CLAIM_FIXED_BYTES,
+    MAX_DATAGRAM_BYTES,
+    MESSAGE_OVERHEAD_BYTES,
+    Offer,
+    Renew,
+    Support,
+)
 from limeridge.peers.outbox import Outbox
 from limeridge.peers.shares import Epoch, Holder, Offers, Terms, View, Voter
 from limeridge.peers.table_exchange import TableExchange
@@ -53,7 +60,7 @@
         if present > self.terms.capacity + self.terms.doubles:
             # More than the settings allow for: no promise holds, but it must not grow with their number.
             share = min(share, self.terms.limit // present)
-        if self.members.yields or self.members.leaving:
+        if self.members.must_yield_name or self.members.leaving:
             return min(share, self.terms.floor)
         return share
 
@@ -103,7 +110,7 @@
         """Answers a holder, where this member votes."""
         if not self._votes() or self.members.leaving:
             return
-        if self.members.yields:
+        if self.members.must_yield_name:
             return  # another process votes under this name
         sender = renew.own
         answer = self.voter.support(sender.key, now)
@@ -123,16 +130,21 @@
         """Makes a new view and sends it to all voters, where it is time and this member's turn."""
         present, reach = self.members.present(), self.holder.in_reach(now)
         view = self.offers.next(present, self.voter.view, highest, reach, now)
-        if view is not None and not self.members.yields:
+        if view is not None and not self.members.must_yield_name:
             self.offered(view)
             self._spread(view)
 
     def _spread(self, view: View) -> None:
         own = self.members.own
         offer = Offer(own, view.epoch, tuple(sorted(view.keys)))
-        size = HEAD_BYTES + CLAIM_BYTES + own.texts + sum(bytes_of(key) + 3 for key in view.keys)
+        size = (
+            MESSAGE_OVERHEAD_BYTES
+            + CLAIM_FIXED_BYTES
+            + own.text_bytes
+            + sum(utf8_length(key) + 3 for key in view.keys)
+        )
         for claim in self._voters():
-            self.outbox.send(claim, offer, stream=size > DATAGRAM_MOST)
+            self.outbox.send(claim, offer, stream=size > MAX_DATAGRAM_BYTES)
 
     def _catch_up(self, other: Claim, epoch: Epoch, now: int) -> None:
         """Asks for the table of one that knows a newer view."""
--- a/limeridge/peers/updates.py
+++ b/limeridge/peers/updates.py
@@ -49,7 +49,7 @@
 
     def _refute(self, claim: Claim, now: int) -> None:
         """Answers a claim about ourselves, where it is wrong."""
-        if self.members.answer_to(claim, now) is None:
+        if self.members.reconcile_own_claim(claim, now) is None:
             return
         own = self.members.own
         # Somebody missed us: perhaps we are slow (Lifeguard).
@@ -60,9 +60,9 @@
 
     def _log_conflict(self) -> None:
         """Logs when another live process takes our name, and when it is free again."""
-        if self.members.yields is self.was_yielding:
+        if self.members.must_yield_name is self.was_yielding:
             return
-        self.was_yielding = self.members.yields
+        self.was_yielding = self.members.must_yield_name
         other = self.members.conflict
         where = f"{other.host}:{other.port}" if other is not None else ""
         self.outbox.log("peers", "name-taken" if self.was_yielding else "name-free", other=where)
--- a/limeridge/scale/failures.py
+++ b/limeridge/scale/failures.py
@@ -8,8 +8,8 @@
 
 import math
 
-from limeridge.peers.members import TELL_FACTOR
-from limeridge.peers.messages import CLAIM_BYTES, DATAGRAM_MOST, HEAD_BYTES
+from limeridge.peers.members import RETRANSMIT_FACTOR
+from limeridge.peers.messages import CLAIM_FIXED_BYTES, MAX_DATAGRAM_BYTES, MESSAGE_OVERHEAD_BYTES
 from limeridge.peers.probing import Pace
 from limeridge.peers.shares import Terms
 from limeridge.scale import assumptions as take
@@ -34,7 +34,9 @@
 RACK = Quantity(40, INSTANCE)
 VOTERS = tuple("12345")  # as many as there are machines set aside in the users' target
 NEWS_BYTES = 20  # of a claim's name, address and zone
-CLAIMS_OF_A_DATAGRAM = Quantity((DATAGRAM_MOST - HEAD_BYTES) // (CLAIM_BYTES + NEWS_BYTES))
+CLAIMS_OF_A_DATAGRAM = Quantity(
+    (MAX_DATAGRAM_BYTES - MESSAGE_OVERHEAD_BYTES) // (CLAIM_FIXED_BYTES + NEWS_BYTES)
+)
 MEAN_ROUNDS = math.e / (math.e - 1)  # until a member is probed by one of all that probe in turn
 NEWS_A_SECOND = Quantity(3) / seconds(1)
 LIST_LAPSE = seconds(3)
@@ -88,7 +90,7 @@
 
 def news_time(target: Target, lives: Quantity) -> Figure:
     """How long the news of so many lives take up all room that datagrams have for news."""
-    tellings = Quantity(TELL_FACTOR * int(target.instances.value).bit_length())
+    tellings = Quantity(RETRANSMIT_FACTOR * int(target.instances.value).bit_length())
     time = lives / ONE_INSTANCE * tellings / CLAIMS_OF_A_DATAGRAM / NEWS_A_SECOND
     return assumed(time, NEWS, f"{lives} x {tellings} / {CLAIMS_OF_A_DATAGRAM} / ({NEWS_A_SECOND})")
 
--- a/limeridge/scale/instance_rows.py
+++ b/limeridge/scale/instance_rows.py
@@ -9,7 +9,7 @@
 from limeridge.facade import RESULTS_KEPT
 from limeridge.net.nodelist import EVERY as REPORT_EVERY
 from limeridge.peers.habits import Habits
-from limeridge.peers.messages import STREAM_MOST
+from limeridge.peers.messages import MAX_STREAM_BYTES
 from limeridge.scale import assumptions as take
 from limeridge.scale.configured import Configured, both, current
 from limeridge.scale.evidence import Evidence, Fallback, Figure, assumed, between, resting_on, stated
@@ -147,7 +147,7 @@
         evidence.at(
             member_cost(role, "largest message", situations[-1]), target.instances, take.LARGEST_MESSAGE
         ),
-        Budget(of_bytes(STREAM_MOST), "the bound on one message in limeridge.peers.messages"),
+        Budget(of_bytes(MAX_STREAM_BYTES), "the bound on one message in limeridge.peers.messages"),
         modules,
     )
 
--- a/limeridge/scale/members_sweep.py
+++ b/limeridge/scale/members_sweep.py
@@ -22,7 +22,7 @@
 from pathlib import Path
 from types import TracebackType
 
-from limeridge.peers.messages import STREAM_MOST
+from limeridge.peers.messages import MAX_STREAM_BYTES
 from limeridge.scale import bounds, meter, orders
 from limeridge.scale.hollow import LEAVE_SECONDS, settings_text
 from limeridge.scale.layout import RACK, RACK_SHARE, ZONE_LEAST, Fleet, Mode, Placement
@@ -594,8 +594,10 @@
         least = min(reading for point in each.points for reading in point.readings)
         if least <= 0 and each.role is not Role.SERVICE_DISCOVERY:
             failed.append(f"{each.key}: expected more than nothing")
-        if each.cost == "largest message" and any(max(point.readings) > STREAM_MOST for point in each.points):
-            failed.append(f"{each.key}: expected {STREAM_MOST} bytes at most")
+        if each.cost == "largest message" and any(
+            max(point.readings) > MAX_STREAM_BYTES for point in each.points
+        ):
+            failed.append(f"{each.key}: expected {MAX_STREAM_BYTES} bytes at most")
         if each.cost == "largest view":
             sizes = [max(point.readings) for point in each.points]
             if any(later <= earlier for earlier, later in pairwise(sizes)):
--- a/limeridge/sim/gossip.py
+++ b/limeridge/sim/gossip.py
@@ -20,7 +20,15 @@
 
 from limeridge.peers.habits import Habits
 from limeridge.peers.members import Address, State
-from limeridge.peers.messages import DATAGRAM_MOST, Foreign, Message, Ping, decode, encode, key_of
+from limeridge.peers.messages import (
+    MAX_DATAGRAM_BYTES,
+    InvalidMessageError,
+    Message,
+    Ping,
+    decode,
+    derive_key,
+    encode,
+)
 from limeridge.peers.peer import Peer, own_claim
 from limeridge.peers.probing import Pace
 from limeridge.peers.shares import Terms
@@ -173,7 +181,7 @@
         def take() -> None:
             try:
                 message = decode(data, self.fleet.key)
-            except Foreign:
+            except InvalidMessageError:
                 return
             self.peer.unix = self.unix()
             answer = self.peer.heard(message, self.clock())
@@ -210,7 +218,7 @@
         self.now = 0
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
         self.order = count()
-        self.key = key_of("sim", b"sim")
+        self.key = derive_key("sim", b"sim")
         self.steps = [0] * setting.members
         self.drifts = [self.chance.uniform(-1, 1) * setting.terms.drift for _ in range(setting.members)]
         self.by_host: dict[str, Process] = {}
@@ -285,7 +293,7 @@
             verdict.packets += 1
             verdict.bytes += len(data)
             verdict.largest = max(verdict.largest, len(data))
-            if len(data) > DATAGRAM_MOST:
+            if len(data) > MAX_DATAGRAM_BYTES:
                 self.broke("datagram", f"{type(message).__name__} of {len(data)} bytes")
         here, there = source.host, to[0]
         if self.cuts[(here, there)] or (not stream and self.chance.random() < self.loss):
@@ -476,7 +484,7 @@
 
     def _garble(self, trouble: Trouble) -> None:
         """Datagrams that are noise, cut short, or under another key."""
-        other = key_of("another", b"sim")
+        other = derive_key("another", b"sim")
         for process in self.chosen(trouble):
             for _ in range(int(trouble.amount)):
                 data: bytes = self.chance.choice(
--- a/limeridge/sim/mutants.py
+++ b/limeridge/sim/mutants.py
@@ -632,7 +632,7 @@
     _m(
         "no-refutation",
         MEMBERS,
-        "return self.restate(replace(old, incarnation=claim.incarnation + 1), now)",
+        "return self.replace_own_claim(replace(old, incarnation=claim.incarnation + 1), now)",
         "return None",
         "a suspicion of ourselves is not answered",
     ),
@@ -646,7 +646,7 @@
     _m(
         "news-once",
         MEMBERS,
-        "if news.told >= self.tell_most():",
+        "if news.told >= self.transmission_limit():",
         "if news.told >= 1:",
         "a change is told once and no more",
     ),
@@ -695,15 +695,15 @@
     _m(
         "accusals-kept",
         DISSEMINATION,
-        "            if self.accusals[accusal] >= self.members.tell_most():\n",
+        "            if self.accusals[accusal] >= self.members.transmission_limit():\n",
         "            if False:\n",
         "accusations crowd all other news out",
     ),
     _m(
         "overfull",
         DISSEMINATION,
-        "room = DATAGRAM_MOST - HEAD_BYTES - CLAIM_BYTES - self.members.own.texts",
-        "room = 2 * DATAGRAM_MOST",
+        "room = MAX_DATAGRAM_BYTES - MESSAGE_OVERHEAD_BYTES - CLAIM_FIXED_BYTES - self.members.own.text_bytes",
+        "room = 2 * MAX_DATAGRAM_BYTES",
         "datagrams over their bound",
     ),
     _m(
--- a/limeridge/sim/world.py
+++ b/limeridge/sim/world.py
@@ -188,7 +188,7 @@
     def linked(self, fleet: Fleet, log: Log) -> Any:
         """The part of membership, on the clock of this machine."""
         from limeridge.peers.link import Link
-        from limeridge.peers.messages import key_of
+        from limeridge.peers.messages import derive_key
         from limeridge.peers.peer import Habits
         from limeridge.peers.setup import PeerSetup
         from limeridge.peers.shares import Terms
@@ -211,7 +211,7 @@
             "",
             tuple((instance_ip(number), PEER_PORT) for number in range(min(3, plan.instances))),
             "",
-            key_of("sim", b"sim"),
+            derive_key("sim", b"sim"),
             Habits.paced(fleet.interval),
             terms,
             fleet.linger,
--- a/limeridge/trial/rig.py
+++ b/limeridge/trial/rig.py
@@ -28,7 +28,7 @@
 from twisted.internet.task import LoopingCall
 from twisted.python.failure import Failure
 
-from limeridge.peers.messages import Ping, encode, key_of
+from limeridge.peers.messages import Ping, derive_key, encode
 from limeridge.peers.peer import own_claim
 from limeridge.settings.load import Unusable
 from limeridge.sim.plan import Ranges, draw
@@ -374,7 +374,7 @@
     def garble(self, number: int, count: int, lasts: float) -> None:
         """Noise, a cut-off message, and whole ones under another key and of a member that nobody knows."""
         relay = self.list_port
-        key, other = key_of(FLEET, SECRET), key_of("another", SECRET)
+        key, other = derive_key(FLEET, SECRET), derive_key("another", SECRET)
         claim = own_claim("n0", (self.host(101, 0), PEER_PORT), 1, 1)
         good = encode(Ping(1, claim, f"n{number}", 0), key)
         forms = (
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -16,7 +16,17 @@
 from limeridge.peers.gate import Gate
 from limeridge.peers.habits import Habits
 from limeridge.peers.members import Claim, Life, Members, State
-from limeridge.peers.messages import DATAGRAM_MOST, Accusal, Ack, Foreign, Ping, Table, decode, encode, key_of
+from limeridge.peers.messages import (
+    MAX_DATAGRAM_BYTES,
+    Accusation,
+    Ack,
+    InvalidMessageError,
+    Ping,
+    Table,
+    decode,
+    derive_key,
+    encode,
+)
 from limeridge.peers.peer import Peer
 from limeridge.peers.reach import Connectivity, Grade, Reach
 from limeridge.peers.seeds import Patience, Seeker
@@ -77,24 +87,26 @@
 
 def test_what_is_said_of_ourselves_is_refuted_and_a_newer_life_at_our_address_is_outlived() -> None:
     members = Members(OWN)
-    assert members.answer_to(replace(OWN, state=State.SUSPECT, incarnation=3), 0) is not None
+    assert members.reconcile_own_claim(replace(OWN, state=State.SUSPECT, incarnation=3), 0) is not None
     assert (members.own.incarnation, members.own.state) == (4, State.ALIVE)
-    assert members.answer_to(replace(OWN, state=State.SUSPECT, incarnation=3), 0) is None, "refuted already"
+    assert members.reconcile_own_claim(replace(OWN, state=State.SUSPECT, incarnation=3), 0) is None, (
+        "refuted already"
+    )
     # Unix time stepped back: an earlier life seems newer. It had our address, so it is over.
-    members.answer_to(replace(OWN, life=Life(500, 8)), 0)
+    members.reconcile_own_claim(replace(OWN, life=Life(500, 8)), 0)
     assert members.own.life == Life(501, 1)
     # An older one changes nothing.
-    assert members.answer_to(replace(OWN, life=Life(3, 3)), 0) is None
+    assert members.reconcile_own_claim(replace(OWN, life=Life(3, 3)), 0) is None
 
 
 def test_two_live_processes_under_one_name_decide_alike_which_one_yields() -> None:
     one, other = Members(OWN), Members(replace(OWN, life=Life(101, 2), host="10.0.0.2"))
-    one.answer_to(other.own, 0)
-    other.answer_to(one.own, 0)
-    assert (one.yields, other.yields) == (True, False)
+    one.reconcile_own_claim(other.own, 0)
+    other.reconcile_own_claim(one.own, 0)
+    assert (one.must_yield_name, other.must_yield_name) == (True, False)
     # Once somebody holds the better one gone, the name is free again, and claimed above it.
-    one.answer_to(replace(other.own, state=State.DEAD), 0)
-    assert not one.yields
+    one.reconcile_own_claim(replace(other.own, state=State.DEAD), 0)
+    assert not one.must_yield_name
     assert one.own.life > other.own.life
 
 
@@ -105,13 +117,13 @@
     members.merge(Claim("m3", Life(1, 1), 0, State.DEAD), 10)
     told: dict[str, int] = {}
     for _ in range(2_000):
-        for claim in members.to_tell(300, 44, ["m3"]):
+        for claim in members.select_updates(300, 44, ["m3"]):
             told[claim.name] = told.get(claim.name, 0) + 1
     rest = {name: count for name, count in told.items() if name != "m3"}
     assert set(rest) == {"own", *(f"m{number}" for number in range(40) if number != 3)}
-    assert set(rest.values()) == {members.tell_most()}, "each as often as any other"
+    assert set(rest.values()) == {members.transmission_limit()}, "each as often as any other"
     assert told["m3"] == 2_000, "what is asked for goes each time"
-    assert [claim.name for claim in members.forget(200, 100)] == ["m3"]
+    assert [claim.name for claim in members.remove_expired(200, 100)] == ["m3"]
     assert members.digest == Members(OWN).digest ^ _digest(members)
 
 
@@ -393,7 +405,7 @@
 
 
 def test_messages_are_read_back_and_what_is_not_ours_is_told_by_a_code() -> None:
-    key, other = key_of("fleet", b"k" * 16), key_of("another", b"k" * 16)
+    key, other = derive_key("fleet", b"k" * 16), derive_key("another", b"k" * 16)
     ping = Ping(7, OWN, "b", 1 << 63, (OWN, replace(OWN, name="c", state=State.DEAD)))
     data = encode(ping, key)
     assert decode(data, key) == ping
@@ -406,17 +418,17 @@
         (data[:20] + b"\xff" + data[21:], "tag"),
         (chance.randbytes(900), "tag"),
     ):
-        with pytest.raises(Foreign, match=code):
+        with pytest.raises(InvalidMessageError, match=code):
             decode(bad, key)
     from hashlib import blake2b
 
     for body in (b"\x91\xa1z", b"\xc1", b"\x93\xa1p\x01\x02", b"\x80"):
-        with pytest.raises(Foreign, match="garbled"):
+        with pytest.raises(InvalidMessageError, match="garbled"):
             decode(blake2b(body, key=key, digest_size=16).digest() + body, key)
 
 
 def test_no_datagram_is_over_its_bound_in_a_fleet_of_a_thousand_with_the_longest_names() -> None:
-    key = key_of("fleet", b"k" * 16)
+    key = derive_key("fleet", b"k" * 16)
     big = (1 << 62) + 5
     own = Claim(
         "n" * 64,
@@ -433,7 +445,7 @@
         peer.updates.merge(
             replace(own, name=f"{number:064}", state=State.SUSPECT if number % 3 else State.ALIVE), 0
         )
-        peer.dissemination.accuse(Accusal(f"{number:064}", own.life, big, "b" * 64))
+        peer.dissemination.accuse(Accusation(f"{number:064}", own.life, big, "b" * 64))
     largest = 0
     for now in range(0, 60 * SECOND, 100 * MS):
         peer.wake(now)
@@ -442,7 +454,7 @@
             if not send.stream:
                 largest = max(largest, len(encode(send.message, key)))
         peer.out.clear()
-    assert 600 < largest <= DATAGRAM_MOST
+    assert 600 < largest <= MAX_DATAGRAM_BYTES
 
 
 @settings(derandomize=True, deadline=None, max_examples=100)
@@ -529,7 +541,7 @@
         verdict = gossip.play(gossip.draw(seed, most=14))
         assert not verdict.rule, f"seed {seed}: {verdict.rule}: {verdict.what}"
         assert verdict.false_deaths == 0
-        assert verdict.largest <= DATAGRAM_MOST
+        assert verdict.largest <= MAX_DATAGRAM_BYTES
 
 
 @pytest.mark.parametrize("name", scenario.names())
@@ -569,7 +581,7 @@
             Claim, "rank", property(lambda self: (Life(0, 0), self.incarnation, int(self.state)))
         )
     elif defect == "refute":  # a suspicion of ourselves is not answered
-        monkeypatch.setattr(Members, "answer_to", lambda self, claim, now: None)
+        monkeypatch.setattr(Members, "reconcile_own_claim", lambda self, claim, now: None)
     else:  # the dead are never tried again
         monkeypatch.setattr(Discovery, "_reach_out", lambda self: None)
     broke = virtual.run(scenario.draw(trial, 1)).broke
--- a/tests/test_scale_rig.py
+++ b/tests/test_scale_rig.py
@@ -13,7 +13,7 @@
 from twisted.internet.protocol import ClientFactory, DatagramProtocol
 from twisted.internet.task import Clock
 
-from limeridge.peers.messages import Table, decode, encode, key_of
+from limeridge.peers.messages import Table, decode, derive_key, encode
 from limeridge.peers.peer import own_claim
 from limeridge.scale import bounds, members_sweep, meter, orders, results, sweeps
 from limeridge.scale.hollow import CountedPort, HollowReactor, Meter, settings_text
@@ -189,7 +189,7 @@
 
 def test_streams_are_counted_as_they_went_over_the_socket(fleet: Fleet, tmp_path: Path) -> None:
     members = worker(fleet, Role.MEMBER, tmp_path)
-    key = key_of("scale", SECRET)
+    key = derive_key("scale", SECRET)
     own = own_claim("other", ("127.0.0.1", 9), 1, 1)
     body = encode(Table(own, (own,), ((0, "", 0), ()), answer=True), key)
     message = struct.pack("!I", len(body)) + body
