--- a/limeridge/peers/members.py
+++ b/limeridge/peers/members.py
@@ -1,12 +1,13 @@
-"""What an instance holds of all members: claims, their order, the table they merge into, and what is still
-to be told of it.
+"""The membership table of one instance: claims about members, how they are ordered and merged, and the queue
+of updates that are still to be gossiped.
 
-It owns the order of claims, the merge and the queue of news. It must never look at a clock, open a socket or
-draw: times are handed in, whole microseconds of one clock that never steps back.
+This module does no I/O, reads no clock and draws no random numbers. Callers pass in times as whole
+microseconds of one monotonic clock.
 
-A claim is about one life of a name. Claims of one name are ordered by life, then by the number that the
-member itself raises (incarnation), then by state; the table keeps the greatest. Merging is thus idempotent,
-commutative and associative: members that heard the same claims hold the same table, whatever the order.
+A claim describes one life of a name, that is, one process that uses it. Claims about the same name are
+ordered by life, then by incarnation (a number that only the member itself increments), then by state; the
+table keeps the greatest. Merging is therefore idempotent, commutative and associative: members that received
+the same claims hold the same table, whatever the order of arrival.
 """
 
 from __future__ import annotations
@@ -22,57 +23,57 @@
 from limeridge.peers.digest import digest_of
 
 Address = tuple[str, int]  # host and port
-RETRANSMIT_FACTOR = 3  # a claim is told this many times the logarithm of the members (SWIM, section 4.1)
+RETRANSMIT_FACTOR = 3  # times log2 of the table size: how often each claim is sent (SWIM, section 4.1)
 
 
 def utf8_length(text: str) -> int:
-    """Length in UTF-8."""
+    """Number of bytes of the text in UTF-8."""
     return len(text) if text.isascii() else len(text.encode())
 
 
 class State(IntEnum):
-    """In the order in which one overrules the other at the same incarnation."""
+    """At the same incarnation, a higher state supersedes a lower one."""
 
     ALIVE = 0
     SUSPECT = 1
-    DEAD = 2  # held dead by those who said so
-    LEFT = 3  # told by itself: no later word of this life counts
+    DEAD = 2  # declared by other members
+    LEFT = 3  # announced by the member itself; final for this life
 
 
 class Life(Struct, frozen=True, array_like=True, order=True):
-    """One process under a name. `number` is Unix time in microseconds at its start, or one more than the
-    highest that it heard of under its name, so that time stepping back does not make it old; `nonce` is drawn
-    and tells two apart that hold the same number."""
+    """Identifies one process that uses a name. `number` is its start as Unix time in microseconds, or one
+    more than the highest number that it has seen under its name, so that a backward clock step does not make
+    it look older than its predecessor. `nonce` is random and separates processes with equal numbers."""
 
     number: int
     nonce: int
 
 
 class Claim(Struct, frozen=True, array_like=True):
-    """What is said of one life of a name."""
+    """A statement about one life of a name, as it is gossiped."""
 
     name: str
     life: Life
     incarnation: int
     state: State
-    host: str = ""  # where the others reach it
+    host: str = ""  # with `port`: the address at which other members reach it
     port: int = 0
     zone: str = ""
     version: str = ""
 
     @property
     def key(self) -> str:
-        """Of one life: a restart under the same name is another holder of shares."""
+        """Identifies the life: a process restarted under the same name is another holder of shares."""
         return f"{self.name}/{self.life.nonce:x}"
 
     @property
     def address(self) -> Address:
-        """Where the others reach it."""
+        """The address at which other members reach it."""
         return self.host, self.port
 
     @property
     def text_bytes(self) -> int:
-        """Bytes of them, for its size on the wire."""
+        """Total length of the text fields in bytes, the variable part of the claim's size on the wire."""
         return (
             utf8_length(self.name)
             + utf8_length(self.host)
@@ -82,18 +83,18 @@
 
     @property
     def rank(self) -> tuple[Life, int, int]:
-        """LEFT is above every incarnation of its life."""
+        """Sort key of claims about the same name. LEFT ranks above every incarnation of its life."""
         left = self.state is State.LEFT
         return self.life, (1 << 62) if left else self.incarnation, int(self.state)
 
     def supersedes(self, other: Claim | None) -> bool:
-        """Whether it takes the place of `other`, a claim under the same name, or of none."""
+        """Whether this claim replaces `other`, a claim about the same name, or the absence of one."""
         return other is None or self.rank > other.rank
 
 
 @dataclass(slots=True, frozen=True)
 class Change:
-    """The table took `new` in place of `old`."""
+    """A table update: `new` replaced `old`."""
 
     old: Claim | None
     new: Claim
@@ -101,21 +102,21 @@
 
 @dataclass(slots=True)
 class QueuedUpdate:
-    """A claim on its way round: how often it was told from here."""
+    """A claim queued for gossip."""
 
     claim: Claim
-    told: int = 0
+    told: int = 0  # how often it has been sent from here
 
 
 @dataclass
 class Members:
-    """The table of one instance, its own claim among them."""
+    """The membership table of one instance, including its own claim."""
 
     own: Claim
     table: dict[str, Claim] = field(default_factory=dict)
-    since: dict[str, int] = field(default_factory=dict)  # when the state of each last changed here
+    since: dict[str, int] = field(default_factory=dict)  # by name: when the state or life last changed here
     news: dict[str, QueuedUpdate] = field(default_factory=dict)
-    conflict: Claim | None = None  # another live process under our name, as last heard
+    conflict: Claim | None = None  # the latest claim of another live process that uses our name
     _digest: int = 0
 
     def __post_init__(self) -> None:
@@ -127,8 +128,8 @@
     # ---- merging
 
     def merge(self, claim: Claim, now: int) -> Change | None:
-        """Takes a claim that was heard; None where it says nothing new. What is said of ourselves is never
-        taken: `answer_to` tells what we say to it."""
+        """Applies a received claim about another member; returns None if it changes nothing. Claims about
+        our own name are ignored here, see `reconcile_own_claim`."""
         if claim.name == self.own.name:
             return None
         old = self.table.get(claim.name)
@@ -138,9 +139,13 @@
         return Change(old, claim)
 
     def reconcile_own_claim(self, claim: Claim, now: int) -> Change | None:
-        """A claim under our own name. A suspicion of this life is refuted by a higher incarnation. A life
-        that seems newer than ours and had our address is over, for we hold that address: our number is
-        raised above its. One at another address may live: a conflict, until somebody holds it gone."""
+        """Handles a received claim about our own name; returns None if our claim stays as it is.
+
+        A suspicion of this life is refuted by a higher incarnation. A life that looks newer than ours but had
+        our address must be over, since we are bound to that address: our life number is raised above it. A
+        life at another address may still be running and is recorded as a conflict until it is reported dead
+        or gone.
+        """
         if claim.name != self.own.name:
             return None
         old = self.own
@@ -162,12 +167,12 @@
 
     @property
     def must_yield_name(self) -> bool:
-        """Whether another live process under our name has the better claim to it. Both decide alike: the
-        greater life has the name."""
+        """Whether another live process has precedence for our name. Both processes apply the same rule: the
+        greater life keeps the name."""
         return self.conflict is not None and self.conflict.life > self.own.life
 
     def replace_own_claim(self, claim: Claim, now: int) -> Change:
-        """What we say of ourselves from now on; told anew."""
+        """Replaces our own claim and queues it for gossip."""
         old, self.own = self.own, claim
         self._put(claim, now)
         return Change(old, claim)
@@ -183,73 +188,79 @@
         self.news[claim.name] = QueuedUpdate(claim)
 
     def remove_expired(self, now: int, after: int) -> list[Claim]:
-        """Drops those who have been gone for `after` microseconds. A life that comes up again later, out of
-        some table that kept it, is news of one who is gone and hurts nobody."""
-        old = [
+        """Removes members that have been DEAD or LEFT for `after` microseconds. A removed claim may come back
+        from another member's table; that is harmless, since it still says that the member is gone."""
+        expired = [
             claim
             for claim in self.table.values()
             if claim.state >= State.DEAD
             and claim.name != self.own.name
             and now - self.since[claim.name] >= after
         ]
-        for claim in old:
+        for claim in expired:
             del self.table[claim.name], self.since[claim.name]
             self.news.pop(claim.name, None)
             self._digest ^= digest_of(claim)
-        return old
+        return expired
 
     # ---- reading
 
     @property
     def leaving(self) -> bool:
-        """Whether this member has told the others that it leaves: it never takes that back."""
+        """Whether this member has announced that it leaves, which is irrevocable."""
         return self.own.state is State.LEFT
 
     @property
     def digest(self) -> int:
-        """64 bits over the whole table, whatever the order in which it came about."""
+        """64-bit digest of the whole table, independent of the order of updates."""
         return self._digest
 
     def get(self, name: str) -> Claim | None:
-        """What is held of a name, ourselves included; None where nothing is."""
+        """The claim about a name, our own included, or None."""
         return self.table.get(name)
 
     def others(self, *states: State) -> Iterator[Claim]:
-        """Without ourselves."""
+        """Claims about other members in one of these states."""
         for claim in self.table.values():
             if claim.state in states and claim.name != self.own.name:
                 yield claim
 
     def present(self) -> list[Claim]:
-        """Those held to be there, suspects among them, and ourselves."""
+        """Claims of all members that are alive or suspect, our own included."""
         return [claim for claim in self.table.values() if claim.state <= State.SUSPECT]
 
-    # ---- telling
+    # ---- gossip
 
     def transmission_limit(self) -> int:
-        """How often a change is told by each member, with as many members as are held now."""
+        """How often this member sends each update, given the current size of the table."""
         return RETRANSMIT_FACTOR * max(1, len(self.table).bit_length())
 
-    def select_updates(self, room: int, size: int, first: Iterable[str] = ()) -> list[Claim]:
-        """Up to `room` bytes of news at `size` and its texts' lengths each, those of `first` ahead, then the
-        least told; each counts as told."""
-        ahead = [name for name in first if name in self.table]
-        most = room // size + 1  # no more can fit: at a start there are as many news as members
-        rest = nsmallest(
-            most,
-            (news for name, news in self.news.items() if name not in ahead),
-            key=lambda news: (news.told, news.claim.name),
+    def select_updates(
+        self, available_bytes: int, claim_bytes: int, priority_names: Iterable[str] = ()
+    ) -> list[Claim]:
+        """Selects claims to send, within `available_bytes`, and counts each as sent once.
+
+        A claim takes `claim_bytes` plus its text fields. The claims about `priority_names` come first,
+        followed by the queued updates that have been sent least often.
+        """
+        priority = [name for name in priority_names if name in self.table]
+        # Bounds the selection: after a start, as many updates are queued as there are members.
+        max_claims = available_bytes // claim_bytes + 1
+        queued = nsmallest(
+            max_claims,
+            (update for name, update in self.news.items() if name not in priority),
+            key=lambda update: (update.told, update.claim.name),
         )
-        chosen: list[Claim] = []
-        for claim in [*(self.table[name] for name in ahead), *(news.claim for news in rest)]:
-            takes = size + claim.text_bytes
-            if takes > room:
+        selected: list[Claim] = []
+        for claim in [*(self.table[name] for name in priority), *(update.claim for update in queued)]:
+            size = claim_bytes + claim.text_bytes
+            if size > available_bytes:
                 break
-            room -= takes
-            chosen.append(claim)
-            news = self.news.get(claim.name)
-            if news is not None:
-                news.told += 1
-                if news.told >= self.transmission_limit():
+            available_bytes -= size
+            selected.append(claim)
+            update = self.news.get(claim.name)
+            if update is not None:
+                update.told += 1
+                if update.told >= self.transmission_limit():
                     del self.news[claim.name]
-        return chosen
+        return selected
--- a/limeridge/peers/messages.py
+++ b/limeridge/peers/messages.py
@@ -1,12 +1,12 @@
-"""What members say to each other, as typed values, and their form on the wire: MessagePack by msgspec
-behind a keyed BLAKE2 tag.
+"""The messages between members and their wire format: MessagePack (msgspec) after a keyed BLAKE2 tag.
 
-It owns the messages, their encoding and the tag. It must never act on a message. What can't be read, is not
-of this fleet or carries another tag is one exception, `InvalidMessageError`, with a reason code.
+This module encodes, authenticates and decodes messages; it does not act on them. Messages that are malformed
+or carry a wrong tag, such as those of another fleet, raise `InvalidMessageError` with a reason code.
 
-A datagram is the tag (16 bytes), then the message. The key is the digest of the fleet's name and the key
-file, so that fleets that share a network don't mix. Nothing here keeps a recorded message from being sent
-again: claims are ordered, and answers are taken only for a number that is still open.
+A datagram is the 16-byte tag followed by the message. The key is derived from the fleet's name and the
+contents of the key file, so that fleets that share a network ignore each other's messages. There is no replay
+protection: replayed claims are superseded by newer ones, and replies are accepted only for a sequence number
+that is still pending.
 """
 
 from __future__ import annotations
@@ -20,15 +20,16 @@
 
 from limeridge.peers.members import Claim, Life
 
-MAX_DATAGRAM_BYTES = 1_200  # bytes; below what any way in use takes in one piece
-MAX_STREAM_BYTES = 1 << 20  # bytes of one message over TCP
+MAX_DATAGRAM_BYTES = 1_200  # below the path MTU of all networks in use, to avoid fragmentation
+MAX_STREAM_BYTES = 1 << 20  # of one message over TCP
 TAG_BYTES = 16
-CLAIM_FIXED_BYTES = 52  # of a claim on the wire, its texts aside, at the most
-MESSAGE_OVERHEAD_BYTES = 128  # of a message's other fields, a name of 64 among them, and its tag
+CLAIM_FIXED_BYTES = 52  # upper bound for an encoded claim without its text fields
+MESSAGE_OVERHEAD_BYTES = 128  # upper bound for the tag and all other fields, including a name of 64 bytes
 
 
 class Accusation(Struct, frozen=True, array_like=True):
-    """`by` has had no answer from this life of `name`. Several accusers shorten the suspicion."""
+    """States that `by` received no answer from this life of `name`. Independent accusations shorten the
+    suspicion time-out (Lifeguard)."""
 
     name: str
     life: Life
@@ -37,7 +38,8 @@
 
 
 class Ping(Struct, frozen=True, array_like=True, tag="p"):
-    """Are you there? `to` names the member meant: another one at its address answers for itself."""
+    """A probe. `to` is the name of the probed member; whichever member listens at its address answers under
+    its own name."""
 
     seq: int
     own: Claim
@@ -45,12 +47,12 @@
     digest: int
     news: tuple[Claim, ...] = ()
     accusals: tuple[Accusation, ...] = ()
-    misses: tuple[str, ...] = ()  # names whose answers do not reach the sender
+    misses: tuple[str, ...] = ()  # names of members whose acks do not reach the sender
 
 
 class Ack(Struct, frozen=True, array_like=True, tag="a"):
-    """`of` is the member that answered, `own` the one that says so: another one where it was asked to
-    probe."""
+    """The answer to a probe. `of` is the member that answered and `own` the sender; they differ for an
+    indirect probe, whose ack is relayed by a helper."""
 
     seq: int
     own: Claim
@@ -62,14 +64,15 @@
 
 
 class Nack(Struct, frozen=True, array_like=True, tag="n"):
-    """I had no answer from it either, but I hear you (Lifeguard, section IV.A)."""
+    """A helper's reply to a ping request if the target did not answer it either. It shows that the requester
+    can be reached (Lifeguard, section IV.A)."""
 
     seq: int
     own: Claim
 
 
 class PingRequest(Struct, frozen=True, array_like=True, tag="q"):
-    """Please probe `to` for me."""
+    """Asks a helper to probe `to` on the sender's behalf."""
 
     seq: int
     own: Claim
@@ -79,7 +82,8 @@
 
 
 class Renew(Struct, frozen=True, array_like=True, tag="r"):
-    """What may I use of the limit? See shares.py. `epoch` is the highest that the asker knows."""
+    """Asks a voter to support the sender's share of the limit, see shares.py. `epoch` is the highest that the
+    sender knows."""
 
     seq: int
     own: Claim
@@ -87,7 +91,8 @@
 
 
 class Support(Struct, frozen=True, array_like=True, tag="s"):
-    """`cap` is the least of the asker's parts in all views that the voter supported within the hold time."""
+    """A voter's reply to `Renew`. `cap` is the minimum of the requester's allocations in all views that the
+    voter supported within the hold time."""
 
     seq: int
     own: Claim
@@ -96,7 +101,7 @@
 
 
 class Offer(Struct, frozen=True, array_like=True, tag="o"):
-    """A new view for voters: lives by name and nonce."""
+    """Proposes a new view to the voters; `keys` are the claim keys of its members."""
 
     own: Claim
     epoch: tuple[int, str, int]
@@ -104,7 +109,7 @@
 
 
 class Table(Struct, frozen=True, array_like=True, tag="t"):
-    """Everything that the sender holds, over TCP; `answer` asks for the other's in return."""
+    """The sender's whole membership table, sent over TCP; `answer` requests the receiver's in return."""
 
     own: Claim
     claims: tuple[Claim, ...]
@@ -113,7 +118,7 @@
 
 
 class DelegateMessage(Struct, frozen=True, array_like=True, tag="w"):
-    """What is said by another part that members carry, `kind`, in its own form."""
+    """A message of the delegate `kind`; `body` is in that delegate's own encoding."""
 
     own: Claim
     kind: str
@@ -126,22 +131,25 @@
 
 
 class InvalidMessageError(Exception):
-    """Not a message of this fleet; the text is a reason code."""
+    """The data is not a valid message of this fleet; the text is a reason code."""
 
 
 def derive_key(fleet: str, secret: bytes) -> bytes:
-    """The 32 bytes that datagrams and streams are tagged with, from the name of the fleet and its secret."""
+    """Derives the 32-byte key that authenticates messages from the fleet's name and secret."""
     return blake2b(secret, key=fleet.encode()[:64], digest_size=32).digest()
 
 
 def encode(message: Message, key: bytes) -> bytes:
-    """The bytes of a message, its tag ahead."""
+    """Encodes a message, prefixed with its tag."""
     body = _encoder.encode(message)
     return blake2b(body, key=key, digest_size=TAG_BYTES).digest() + body
 
 
 def decode(data: bytes, key: bytes) -> Message:
-    """Raises InvalidMessageError: `short`, `tag` or `garbled`."""
+    """Checks the tag and decodes the message.
+
+    Raises InvalidMessageError with the code `short`, `tag` or `garbled`.
+    """
     if len(data) <= TAG_BYTES:
         raise InvalidMessageError("short")
     body = data[TAG_BYTES:]
@@ -149,6 +157,6 @@
         raise InvalidMessageError("tag")
     try:
         message: Message = _decoder.decode(body)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as trouble:
-        raise InvalidMessageError("garbled") from trouble
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        raise InvalidMessageError("garbled") from error
     return message
--- a/limeridge/sim/mutants.py
+++ b/limeridge/sim/mutants.py
@@ -646,8 +646,8 @@
     _m(
         "news-once",
         MEMBERS,
-        "if news.told >= self.transmission_limit():",
-        "if news.told >= 1:",
+        "if update.told >= self.transmission_limit():",
+        "if update.told >= 1:",
         "a change is told once and no more",
     ),
     _m(
