--- a/limeridge/peers/discovery.py
+++ b/limeridge/peers/discovery.py
@@ -30,14 +30,14 @@
         tables: TableExchange,
         dissemination: Dissemination,
         habits: Habits,
-        chance: random.Random,
+        rng: random.Random,
         outbox: Outbox,
         now: int,
     ) -> None:
         """`seeker`: decides when service discovery is asked; None where it is not to be asked."""
         self.members, self.seeker, self.tables = members, seeker, tables
         self.seeds = [seed for seed in seeds if seed != members.own.address]
-        self.dissemination, self.habits, self.chance = dissemination, habits, chance
+        self.dissemination, self.habits, self.rng = dissemination, habits, rng
         self.outbox = outbox
         self.reads_list: Callable[[int], bool] | None = None  # whether this member reads it for others too
         self.list_wanted = False  # until whoever drives the member has asked for the list
@@ -67,12 +67,12 @@
         """To one who is held dead, and to a seed while nobody is known: the way back after a cut."""
         dead = sorted(self.members.others(State.DEAD), key=lambda claim: claim.name)
         if dead:
-            target = self.chance.choice(dead)
+            target = self.rng.choice(dead)
             self.outbox.send(target, self.dissemination.ping(target, 0))
         known = self._known()
         missing = [seed for seed in self.seeds if seed not in known]
-        if missing and (not self._others() or self.chance.random() < MISSING_SEED_CHANCE):
-            self.tables.ask(self.chance.choice(missing))
+        if missing and (not self._others() or self.rng.random() < MISSING_SEED_CHANCE):
+            self.tables.ask(self.rng.choice(missing))
 
     def _seek(self, seeker: Seeker, now: int) -> None:
         """Those that the list named last time are tried, then it is asked again."""
--- a/limeridge/peers/dissemination.py
+++ b/limeridge/peers/dissemination.py
@@ -20,7 +20,7 @@
     Ping,
 )
 from limeridge.peers.probing import Detector
-from limeridge.peers.reach import Reach
+from limeridge.peers.reachability import Reachability
 
 ACCUSALS_MOST = 6  # carried by one datagram
 MISSES_MOST = 6
@@ -39,13 +39,13 @@
 class Dissemination:
     """Builds pings and acks, each with as much news as one datagram has room for."""
 
-    def __init__(self, members: Members, detector: Detector, reach: Reach) -> None:
-        self.members, self.detector, self.reach = members, detector, reach
+    def __init__(self, members: Members, detector: Detector, reachability: Reachability) -> None:
+        self.members, self.detector, self.reachability = members, detector, reachability
         self.accusals: dict[Accusation, int] = {}  # how often each was told
 
     def accuse(self, accusal: Accusation) -> None:
         """Takes an accusation, our own or one that was heard; it is told on if it is new."""
-        new = self.detector.accused(accusal.name, accusal.life, accusal.incarnation, accusal.by)
+        new = self.detector.add_accuser(accusal.name, accusal.life, accusal.incarnation, accusal.by)
         if new and len(self.accusals) < ACCUSALS_KEPT:
             self.accusals.setdefault(accusal, 0)
 
@@ -87,7 +87,7 @@
 
     def _misses(self) -> tuple[str, ...]:
         there = sorted(claim.name for claim in self.members.others(State.ALIVE, State.SUSPECT))
-        return tuple(islice(self.reach.misses(there), MISSES_MOST))
+        return tuple(islice(self.reachability.members_not_answering(there), MISSES_MOST))
 
     def _accusals(self, room: int) -> list[Accusation]:
         """The least told first, in up to about half of `room` bytes; each counts as told."""
--- a/limeridge/peers/habits.py
+++ b/limeridge/peers/habits.py
@@ -16,7 +16,7 @@
 class Habits:
     """Intervals of one member, in microseconds."""
 
-    pace: probing.Pace = field(default_factory=probing.Pace)
+    pace: probing.ProbeSettings = field(default_factory=probing.ProbeSettings)
     sync: int = 10_000 * MS  # between two exchanges of whole tables
     sync_soon: int = 1_000 * MS  # where a digest tells that tables differ
     reach_out: int = 2_000 * MS  # between two tries to reach one who is held dead, or a seed
@@ -24,12 +24,12 @@
 
     @classmethod
     def paced(
-        cls, interval: int, time_out: int = 0, helpers: int = 3, sync: int = 0, remember: int = 0
+        cls, interval: int, timeout: int = 0, helpers: int = 3, sync: int = 0, remember: int = 0
     ) -> Habits:
         """The intervals that follow from a round of `interval` microseconds.
 
         `time_out`, `sync` and `remember` are microseconds too; 0 takes the default for that interval.
         """
         late = max(interval // 2, 50 * MS)
-        pace = probing.Pace(interval, time_out or int(0.3 * interval), helpers, late=late)
+        pace = probing.ProbeSettings(interval, timeout or int(0.3 * interval), helpers, stall_threshold=late)
         return cls(pace, sync or 10 * interval, interval, 2 * interval, remember or cls().remember)
--- a/limeridge/peers/link.py
+++ b/limeridge/peers/link.py
@@ -259,19 +259,19 @@
         self.show = peers.show
         # Nonces must differ between processes that were given the same seed.
         nonce = draw() if draw is not None else int.from_bytes(os.urandom(7), "big")
-        chance = random.Random(setup.seed ^ nonce)
+        rng = random.Random(setup.seed ^ nonce)
         host, port = peers.listen
         self.listen: Address = host or setup.listen.host, port
         linger, terms = self._terms(setup, peers)
         own = own_claim(
             setup.name, peers.advertise or self.listen, int(unix() * 1e6), nonce, peers.zone, __version__
         )
-        seeker = Seeker(Patience(), chance, clock()) if peers.from_list else None
-        self.peer = Peer(own, peers.seeds, peers.habits, terms, chance, clock(), linger, seeker)
+        seeker = Seeker(Patience(), rng, clock()) if peers.from_list else None
+        self.peer = Peer(own, peers.seeds, peers.habits, terms, rng, clock(), linger, seeker)
         self.listing = Listing(self) if peers.from_list else None
         self.gate = Gate(self.share, clock, linger)
         self.duty_delegate: DutyDelegate | None = None
-        self.duties = self._duties(peers, chance)
+        self.duties = self._duties(peers, rng)
         self.counts: Counter[str] = Counter()
         self.kept: deque[dict[str, object]] = deque(maxlen=EVENTS_KEPT)
         self.streams_in = self.streams_out = 0
@@ -296,7 +296,7 @@
             )
         return linger, replace(peers.terms, longest=max(peers.terms.longest, longest))
 
-    def _duties(self, peers: PeerSetup, chance: random.Random) -> Duties | None:
+    def _duties(self, peers: PeerSetup, rng: random.Random) -> Duties | None:
         told = peers.duties
         if told is None:
             return None
@@ -307,9 +307,7 @@
             declared[name] = Declared(name, told.terms, meanwhile=meanwhile)
         if told.allot:
             declared[ALLOT] = Declared(ALLOT, told.terms, meanwhile="floors alone")
-        duties = Duties(
-            own.name, own.life.nonce, told.electorate, declared, told.waits, chance, now, told.terms
-        )
+        duties = Duties(own.name, own.life.nonce, told.electorate, declared, told.waits, rng, now, told.terms)
         allotting = None
         terms = self.peer.terms
         if told.allot and terms is not None:
@@ -527,12 +525,12 @@
         told: dict[str, object] = {
             "name": peer.own.name,
             "life": peer.own.life.number,
-            "stand": peer.reach.connectivity.value,
-            "stand_for_s": round((now - peer.reach.connectivity_since) / 1e6, 1),
+            "stand": peer.reachability.connectivity.value,
+            "stand_for_s": round((now - peer.reachability.connectivity_since) / 1e6, 1),
             "present": len(peer.members.present()),
             "agree": peer.agree(),
-            "missed_by": peer.reach.missed_by(peer.own.name, now),
-            "doubt": peer.detector.doubt,
+            "missed_by": peer.reachability.members_missing_our_acks(peer.own.name, now),
+            "doubt": peer.detector.health_score,
             "stalls": peer.detector.stalls,
             "name_taken": peer.members.must_yield_name,
             "members": members,
@@ -560,11 +558,11 @@
         own = claim.name == peer.own.name
         return {
             "name": claim.name,
-            "grade": "self" if own else peer.reach.grade(claim, now).value,
+            "grade": "self" if own else peer.reachability.grade(claim, now).value,
             "state": claim.state.name.lower(),
             "life": claim.life.number,
             "incarnation": claim.incarnation,
-            "misses": sorted(peer.reach.of(claim.name).misses),
+            "misses": sorted(peer.reachability.contact(claim.name).misses),
             "at": f"{claim.host}:{claim.port}",
             "zone": claim.zone,
             "version": claim.version,
--- a/limeridge/peers/observer.py
+++ b/limeridge/peers/observer.py
@@ -9,7 +9,7 @@
 from limeridge.peers.members import Claim, Members, State
 from limeridge.peers.outbox import Outbox
 from limeridge.peers.probing import Detector
-from limeridge.peers.reach import Connectivity, Grade, Reach
+from limeridge.peers.reachability import Connectivity, Grade, Reachability
 from limeridge.peers.share_exchange import ShareExchange
 
 
@@ -20,14 +20,14 @@
         self,
         members: Members,
         detector: Detector,
-        reach: Reach,
+        reachability: Reachability,
         shares: ShareExchange | None,
         outbox: Outbox,
         now: int,
         every: int,
     ) -> None:
         """`every`: microseconds between two looks."""
-        self.members, self.detector, self.reach = members, detector, reach
+        self.members, self.detector, self.reachability = members, detector, reachability
         self.shares, self.outbox = shares, outbox
         self.every, self.next_at = every, now
         self.grades: dict[str, Grade] = {}
@@ -47,7 +47,7 @@
 
     def _look_at_members(self, now: int) -> None:
         for claim in self.members.others(*State):
-            grade, old = self.reach.grade(claim, now), self.grades.get(claim.name)
+            grade, old = self.reachability.grade(claim, now), self.grades.get(claim.name)
             if grade is not old:
                 self.grades[claim.name] = grade
                 self._log_grade(claim, grade, old)
@@ -64,7 +64,7 @@
         )
 
     def _look_at_connectivity(self, now: int) -> None:
-        old = self.reach.connectivity
+        old = self.reachability.connectivity
         new = self._connectivity(now)
         if new is not old:
             self.outbox.log("peers", f"with-{new.value}", present=len(self.members.present()))
@@ -72,7 +72,9 @@
     def _connectivity(self, now: int) -> Connectivity:
         present = len(self.members.present())
         dead = sum(1 for _ in self.members.others(State.DEAD))
-        return self.reach.look(present, present + dead, self.detector.heard_at, now)
+        return self.reachability.update_connectivity(
+            present, present + dead, self.detector.last_contact_at, now
+        )
 
     def _look_at_share(self, now: int) -> None:
         if self.shares is None:
--- a/limeridge/peers/peer.py
+++ b/limeridge/peers/peer.py
@@ -34,7 +34,7 @@
 from limeridge.peers.outbox import Event, Outbox, Send
 from limeridge.peers.prober import Prober
 from limeridge.peers.probing import Detector
-from limeridge.peers.reach import Reach
+from limeridge.peers.reachability import Reachability
 from limeridge.peers.relays import Relays
 from limeridge.peers.seeds import Seeker
 from limeridge.peers.share_exchange import ShareExchange
@@ -59,7 +59,7 @@
         seeds: Sequence[Address],
         habits: Habits,
         terms: Terms | None,
-        chance: random.Random,
+        rng: random.Random,
         now: int,
         quiet: int = 0,
         seeker: Seeker | None = None,
@@ -67,27 +67,31 @@
         """`terms`: of the limit that is shared out, None where there is none; `quiet`: microseconds from now
         in which no call may begin; `seeker`: where members are found by service discovery too."""
         interval = habits.pace.interval
-        self.habits, self.terms, self.chance = habits, terms, chance
+        self.habits, self.terms, self.rng = habits, terms, rng
         self.unix = 0  # Unix time in microseconds, as whoever drives it last told, for the delegates
         self.outbox = Outbox()
         self.members = Members(own)
-        self.detector = Detector(self.members, chance, habits.pace, now)
-        self.reach = Reach(FRESH_ROUNDS * interval, BACK_ROUNDS * interval, connectivity_since=now)
+        self.detector = Detector(self.members, rng, habits.pace, now)
+        self.reachability = Reachability(
+            FRESH_ROUNDS * interval, BACK_ROUNDS * interval, connectivity_since=now
+        )
         self.voter = Voter(terms, now) if terms is not None else None
-        members, detector, reach, outbox = self.members, self.detector, self.reach, self.outbox
-        self.dissemination = Dissemination(members, detector, reach)
-        self.updates = Updates(members, detector, reach, self.dissemination, outbox)
-        self.relays = Relays(members, self.dissemination, outbox, habits.pace.time_out)
-        self.prober = Prober(members, detector, reach, self.dissemination, self.updates, self.relays, outbox)
-        self.tables = TableExchange(members, self.voter, habits, chance, outbox, now)
+        members, detector, reachability, outbox = self.members, self.detector, self.reachability, self.outbox
+        self.dissemination = Dissemination(members, detector, reachability)
+        self.updates = Updates(members, detector, reachability, self.dissemination, outbox)
+        self.relays = Relays(members, self.dissemination, outbox, habits.pace.timeout)
+        self.prober = Prober(
+            members, detector, reachability, self.dissemination, self.updates, self.relays, outbox
+        )
+        self.tables = TableExchange(members, self.voter, habits, rng, outbox, now)
         self.discovery = Discovery(
-            members, seeds, seeker, self.tables, self.dissemination, habits, chance, outbox, now
+            members, seeds, seeker, self.tables, self.dissemination, habits, rng, outbox, now
         )
         self.shares: ShareExchange | None = None
         if terms is not None and self.voter is not None:
             self.shares = ShareExchange(members, terms, self.voter, self.tables, outbox, now, quiet)
         self.delegates = Delegates(members, outbox)
-        self.observer = Observer(members, detector, reach, self.shares, outbox, now, interval // LOOKS)
+        self.observer = Observer(members, detector, reachability, self.shares, outbox, now, interval // LOOKS)
 
     # ---- what is held
 
@@ -156,14 +160,16 @@
         if self.leaving:
             return
         self.delegates.leave(now)
-        self.updates.changed(self.members.replace_own_claim(replace(self.own, state=State.LEFT), now), now)
+        self.updates.handle_change(
+            self.members.replace_own_claim(replace(self.own, state=State.LEFT), now), now
+        )
         others = sorted(self.members.others(State.ALIVE, State.SUSPECT), key=lambda claim: claim.name)
         most = self.members.transmission_limit()
-        for claim in self.chance.sample(others, min(len(others), most)):
+        for claim in self.rng.sample(others, min(len(others), most)):
             self.outbox.send(claim, Ping(0, self.own, claim.name, self.members.digest))
 
     def _forget(self, name: str) -> None:
-        self.reach.seen.pop(name, None)
+        self.reachability.seen.pop(name, None)
         self.observer.forget(name)
         self.tables.forget(name)
 
@@ -172,7 +178,7 @@
     def heard(self, message: Message, now: int) -> Table | None:
         """Takes a message; what is returned goes back over the stream that brought it."""
         sender = message.own
-        self.reach.of(sender.name).heard = now
+        self.reachability.contact(sender.name).last_received = now
         if sender.name == self.own.name and sender.life == self.own.life:
             return None  # our own words, come back
         self.updates.merge(sender, now)
@@ -190,11 +196,11 @@
         if isinstance(message, Ping | Ack):
             self._take_news(message, now)
         if isinstance(message, Ping):
-            self.prober.answer(message)
+            self.prober.send_ack(message)
         elif isinstance(message, Ack):
-            self.prober.answered(message, now)
+            self.prober.handle_ack(message, now)
         elif isinstance(message, Nack):
-            self.prober.refused(message, now)
+            self.prober.handle_nack(message, now)
         else:
             self.relays.begin(message, now)
 
@@ -203,8 +209,8 @@
             self.updates.merge(claim, now)
         for accusal in message.accusals:
             self.dissemination.accuse(accusal)
-        seen = self.reach.of(message.own.name)
-        seen.misses, seen.said = frozenset(message.misses), now
+        seen = self.reachability.contact(message.own.name)
+        seen.misses, seen.misses_reported_at = frozenset(message.misses), now
         self.tables.compare(message, now)
 
     def _heard_of_shares(self, message: Renew | Support | Offer, now: int) -> None:
@@ -218,7 +224,7 @@
             self.shares.offered(View(message.epoch, frozenset(message.keys)))
 
     def _heard_table(self, table: Table, now: int) -> Table | None:
-        self.detector.heard_at = now
+        self.detector.last_contact_at = now
         for claim in table.claims:
             self.updates.merge(claim, now)
         if self.shares is not None:
--- a/limeridge/peers/prober.py
+++ b/limeridge/peers/prober.py
@@ -14,7 +14,7 @@
 from limeridge.peers.messages import Accusation, Ack, Nack, Ping, PingRequest
 from limeridge.peers.outbox import Outbox
 from limeridge.peers.probing import Detector
-from limeridge.peers.reach import Reach
+from limeridge.peers.reachability import Reachability
 from limeridge.peers.relays import Relays
 from limeridge.peers.updates import Updates
 
@@ -26,55 +26,55 @@
         self,
         members: Members,
         detector: Detector,
-        reach: Reach,
+        reachability: Reachability,
         dissemination: Dissemination,
         updates: Updates,
         relays: Relays,
         outbox: Outbox,
     ) -> None:
-        self.members, self.detector, self.reach = members, detector, reach
+        self.members, self.detector, self.reachability = members, detector, reachability
         self.dissemination, self.updates, self.relays = dissemination, updates, relays
         self.outbox = outbox
 
     def wake(self, now: int) -> None:
         """To be called at the detector's `next_at` or soon after."""
         stalls = self.detector.stalls
-        for act in self.detector.wake(now):
-            self._carry_out(act, now)
+        for action in self.detector.wake(now):
+            self._execute(action, now)
         if self.detector.stalls > stalls:
             self.outbox.log("peers", "stood-still", stalls=self.detector.stalls)
 
-    def answer(self, ping: Ping) -> None:
+    def send_ack(self, ping: Ping) -> None:
         """Answers a probe, unless it is the farewell of one that leaves."""
         if ping.seq == 0 and ping.own.state is State.LEFT:
             return
         self.outbox.send(ping.own, self.dissemination.ack(ping))
 
-    def answered(self, ack: Ack, now: int) -> None:
+    def handle_ack(self, ack: Ack, now: int) -> None:
         """Takes an answer to a probe of ours, or to one that we made for another."""
-        if self.relays.answered(ack):
+        if self.relays.handle_ack(ack):
             return
         direct = ack.of == ack.own.name
-        if self.detector.answered(ack.seq, ack.of, now):
-            seen = self.reach.of(ack.of)
+        if self.detector.handle_ack(ack.seq, ack.of, now):
+            seen = self.reachability.contact(ack.of)
             if direct:
-                seen.answered = now
+                seen.last_direct_ack = now
             else:
-                seen.by_others = now
+                seen.last_indirect_ack = now
 
-    def refused(self, nack: Nack, now: int) -> None:
+    def handle_nack(self, nack: Nack, now: int) -> None:
         """Takes a helper's word that it had no answer either."""
-        self.detector.refused(nack.seq, nack.own.name, now)
+        self.detector.handle_nack(nack.seq, nack.own.name, now)
 
-    def _carry_out(self, act: probing.Act, now: int) -> None:
-        if isinstance(act, probing.Probe):
-            self._probe(act, now)
-        elif isinstance(act, probing.Accuse):
-            target, own = act.target, self.members.own
+    def _execute(self, action: probing.Action, now: int) -> None:
+        if isinstance(action, probing.Probe):
+            self._probe(action, now)
+        elif isinstance(action, probing.DeclareSuspect):
+            target, own = action.target, self.members.own
             self.updates.merge(replace(target, state=State.SUSPECT), now)
             self.dissemination.accuse(Accusation(target.name, target.life, target.incarnation, own.name))
         else:
-            self.updates.merge(replace(act.target, state=State.DEAD), now)
+            self.updates.merge(replace(action.target, state=State.DEAD), now)
 
     def _probe(self, probe: probing.Probe, now: int) -> None:
         target = probe.target
@@ -83,5 +83,5 @@
             self.outbox.send(probe.helper, ask)
             return
         self.outbox.send(target, self.dissemination.ping(target, probe.seq))
-        if self.detector.round is not None and self.detector.round.asked_others:
-            self.reach.of(target.name).unanswered = now
+        if self.detector.round is not None and self.detector.round.indirect_probes_sent:
+            self.reachability.contact(target.name).last_direct_timeout = now
--- a/limeridge/peers/relays.py
+++ b/limeridge/peers/relays.py
@@ -52,7 +52,7 @@
         # To the address that the asker knows: it may be newer than ours.
         self.outbox.send_to((ask.host, ask.port), ping)
 
-    def answered(self, ack: Ack) -> bool:
+    def handle_ack(self, ack: Ack) -> bool:
         """Passes an answer on to the member that asked for it; False where `ack` is for no probe in hand."""
         relay = self.open.get(ack.seq)
         if relay is None:
--- a/limeridge/peers/seeds.py
+++ b/limeridge/peers/seeds.py
@@ -36,12 +36,12 @@
 class Seeker:
     """What one instance asks of the list."""
 
-    def __init__(self, patience: Patience, chance: random.Random, now: int) -> None:
-        self.patience, self.chance = patience, chance
+    def __init__(self, patience: Patience, rng: random.Random, now: int) -> None:
+        self.patience, self.rng = patience, rng
         self.tries = 0
         self.left = patience.budget / 2
         self.filled_at = now
-        self.next_at = now + int(chance.uniform(0, patience.first))
+        self.next_at = now + int(rng.uniform(0, patience.first))
         self.kept: list[tuple[int, Address]] = []  # each with the part in which it came
         self.parts: set[int] = set()  # of the answer that is coming in
         self.entries = 0  # in those parts
@@ -58,11 +58,11 @@
         self.filled_at = now
         if others:
             self.tries = 0
-            self.next_at = now + int(self.chance.uniform(0.5, 1.5) * patience.seldom)
+            self.next_at = now + int(self.rng.uniform(0.5, 1.5) * patience.seldom)
         else:
             bound = min(patience.longest, patience.first << min(self.tries, 16))
             self.tries += 1
-            self.next_at = now + max(1, int(self.chance.uniform(0, bound)))
+            self.next_at = now + max(1, int(self.rng.uniform(0, bound)))
         if self.left < 1:
             return False
         self.left -= 1
@@ -91,7 +91,7 @@
         self.entries += 1
         if len(self.kept) < ENTRIES_MOST:
             self.kept.append(entry)
-        elif (place := self.chance.randrange(self.entries)) < ENTRIES_MOST:
+        elif (place := self.rng.randrange(self.entries)) < ENTRIES_MOST:
             self.kept[place] = entry
 
     @property
@@ -102,7 +102,7 @@
     def take(self, known: set[Address]) -> list[Address]:
         """Some to be tried, drawn anew: all readers must not fall on the first of the list."""
         fresh = sorted(set(self.found) - known)
-        return self.chance.sample(fresh, min(TRIED_AT_ONCE, len(fresh)))
+        return self.rng.sample(fresh, min(TRIED_AT_ONCE, len(fresh)))
 
 
 def address_of(word: str) -> Address | None:
--- a/limeridge/peers/setup.py
+++ b/limeridge/peers/setup.py
@@ -82,8 +82,8 @@
         raise checked.refuse("show", f"expected a path of {SOCKET_MOST} bytes at most")
     interval = message.interval_ms or 1_000
     checked.number("interval_ms", interval, 20, 60_000, "milliseconds")
-    time_out = message.time_out_ms or 0.3 * interval
-    checked.number("time_out_ms", time_out, 5, 0.75 * interval, "milliseconds (3/4 of a round at most)")
+    timeout = message.time_out_ms or 0.3 * interval
+    checked.number("time_out_ms", timeout, 5, 0.75 * interval, "milliseconds (3/4 of a round at most)")
     checked.number("helpers", message.helpers or 3, 1, 10, "a number of members")
     checked.number("sync_ms", message.sync_ms or 10 * interval, interval, 3_600_000, "milliseconds")
     checked.number("remember_ms", message.remember_ms or 120_000, 10 * interval, 86_400_000, "milliseconds")
--- a/limeridge/peers/table_exchange.py
+++ b/limeridge/peers/table_exchange.py
@@ -24,13 +24,13 @@
         members: Members,
         voter: Voter | None,
         habits: Habits,
-        chance: random.Random,
+        rng: random.Random,
         outbox: Outbox,
         now: int,
     ) -> None:
         """`voter`: whose view goes along with our table, where the limit is shared out."""
         self.members, self.voter, self.habits = members, voter, habits
-        self.chance, self.outbox = chance, outbox
+        self.rng, self.outbox = rng, outbox
         self.next_at = now
         self.alike: set[str] = set()  # those whose digest was ours when last heard
         self.pulled: dict[str, int] = {}  # when each was last asked for its table
@@ -39,10 +39,10 @@
         """Asks one member, drawn anew, where it is time; to be called at `next_at` or soon after."""
         if now < self.next_at:
             return
-        self.next_at = now + int(self.habits.sync * self.chance.uniform(*SYNC_SPREAD))
+        self.next_at = now + int(self.habits.sync * self.rng.uniform(*SYNC_SPREAD))
         others = sorted(self.members.others(State.ALIVE), key=lambda claim: claim.name)
         if others:
-            self.ask(self.chance.choice(others).address)
+            self.ask(self.rng.choice(others).address)
 
     def ask(self, to: Address) -> None:
         """Sends our table to `to`, which sends its own back."""
--- a/limeridge/peers/updates.py
+++ b/limeridge/peers/updates.py
@@ -10,16 +10,21 @@
 from limeridge.peers.members import Change, Claim, Members, State
 from limeridge.peers.outbox import Outbox
 from limeridge.peers.probing import Detector
-from limeridge.peers.reach import Reach
+from limeridge.peers.reachability import Reachability
 
 
 class Updates:
     """Merges claims into the table and passes on what changed."""
 
     def __init__(
-        self, members: Members, detector: Detector, reach: Reach, dissemination: Dissemination, outbox: Outbox
+        self,
+        members: Members,
+        detector: Detector,
+        reachability: Reachability,
+        dissemination: Dissemination,
+        outbox: Outbox,
     ) -> None:
-        self.members, self.detector, self.reach = members, detector, reach
+        self.members, self.detector, self.reachability = members, detector, reachability
         self.dissemination, self.outbox = dissemination, outbox
         self.was_yielding = False
 
@@ -33,19 +38,19 @@
             return  # by far the most of what comes says nothing new
         change = self.members.merge(claim, now)
         if change is not None:
-            self.changed(change, now)
+            self.handle_change(change, now)
 
-    def changed(self, change: Change, now: int) -> None:
+    def handle_change(self, change: Change, now: int) -> None:
         """Passes a change of the table on to all parts that depend on it."""
-        self.detector.changed(change, now)
+        self.detector.handle_change(change, now)
         old, new = change.old, change.new
         if new.state is not State.SUSPECT:
             self.dissemination.withdraw(new.name)
         if old is not None and old.state >= State.DEAD and new.state is State.ALIVE:
-            self.reach.of(new.name).back = now
+            self.reachability.contact(new.name).returned_at = now
         if old is not None and old.life != new.life:
-            seen = self.reach.of(new.name)
-            seen.answered = seen.by_others = seen.unanswered = -1
+            seen = self.reachability.contact(new.name)
+            seen.last_direct_ack = seen.last_indirect_ack = seen.last_direct_timeout = -1
 
     def _refute(self, claim: Claim, now: int) -> None:
         """Answers a claim about ourselves, where it is wrong."""
@@ -54,7 +59,7 @@
         own = self.members.own
         # Somebody missed us: perhaps we are slow (Lifeguard).
         if claim.life == own.life:
-            self.detector.distrust(1)
+            self.detector.adjust_health_score(1)
         code = "refuted" if claim.life == own.life else "newer-life"
         self.outbox.log("peers", code, incarnation=own.incarnation, life=own.life.number)
 
--- a/limeridge/scale/failures.py
+++ b/limeridge/scale/failures.py
@@ -10,7 +10,7 @@
 
 from limeridge.peers.members import RETRANSMIT_FACTOR
 from limeridge.peers.messages import CLAIM_FIXED_BYTES, MAX_DATAGRAM_BYTES, MESSAGE_OVERHEAD_BYTES
-from limeridge.peers.probing import Pace
+from limeridge.peers.probing import ProbeSettings
 from limeridge.peers.shares import Terms
 from limeridge.scale import assumptions as take
 from limeridge.scale.configured import current
@@ -75,16 +75,16 @@
 
 def held_dead_after(target: Target) -> Figure:
     """Until the first member holds a dead one dead, where several accuse it."""
-    pace = Pace()
+    pace = ProbeSettings()
     interval = microseconds(pace.interval)
-    suspicion = interval * Quantity(pace.least * max(1.0, math.log10(target.instances.value)))
+    suspicion = interval * Quantity(pace.suspicion_multiplier * max(1.0, math.log10(target.instances.value)))
     probed = interval * Quantity(MEAN_ROUNDS) + interval
     return assumed(probed + suspicion, NOTICING, f"{probed} + {suspicion}")
 
 
 def known_to_all_after(target: Target) -> Figure:
     """Until all hold it dead."""
-    spread = microseconds(Pace().interval) * Quantity(math.log2(target.instances.value))
+    spread = microseconds(ProbeSettings().interval) * Quantity(math.log2(target.instances.value))
     return held_dead_after(target) + assumed(spread, NOTICING)
 
 
--- a/limeridge/sim/gossip.py
+++ b/limeridge/sim/gossip.py
@@ -30,7 +30,7 @@
     encode,
 )
 from limeridge.peers.peer import Peer, own_claim
-from limeridge.peers.probing import Pace
+from limeridge.peers.probing import ProbeSettings
 from limeridge.peers.shares import Terms
 
 MS = 1_000
@@ -96,7 +96,10 @@
         """Within which a death is known to all where no link is cut and nobody is slow: the longest
         suspicion, of one whom nobody else accuses, and twenty rounds."""
         pace = self.habits.pace
-        rounds = pace.most * pace.least * max(1.0, math.log10(self.members)) + 20
+        rounds = (
+            pace.suspicion_max_multiplier * pace.suspicion_multiplier * max(1.0, math.log10(self.members))
+            + 20
+        )
         return int(rounds * pace.interval)
 
 
@@ -635,7 +638,7 @@
 # ---- drawing
 
 QUICK = Habits(
-    Pace(interval=300 * MS, time_out=100 * MS, late=250 * MS),
+    ProbeSettings(interval=300 * MS, timeout=100 * MS, stall_threshold=250 * MS),
     sync=3_000 * MS,
     sync_soon=400 * MS,
     reach_out=600 * MS,
--- a/limeridge/sim/mutants.py
+++ b/limeridge/sim/mutants.py
@@ -653,36 +653,38 @@
     _m(
         "dead-at-once",
         PROBING,
-        "return self.begun + max(self.least, int(self.most - (self.most - self.least) * share))",
-        "return self.begun + self.least // 8",
+        "return self.started_at + max(\n"
+        "            self.min_duration, int(self.max_duration - (self.max_duration - self.min_duration) * share)\n"
+        "        )",
+        "return self.started_at + self.min_duration // 8",
         "a suspicion does not wait for its refutation",
     ),
     _m(
         "never-accused",
         PROBING,
-        "        return [Accuse(claim)]\n",
+        "        return [DeclareSuspect(claim)]\n",
         "        return []\n",
         "who does not answer is never suspected",
     ),
     _m(
         "isolated-holds-dead",
         PROBING,
-        "        alone = now - max(self.heard_at, self.back_at)\n",
-        "        return False\n        alone = now - max(self.heard_at, self.back_at)\n",
+        "        alone = now - max(self.last_contact_at, self.stall_ended_at)\n",
+        "        return False\n        alone = now - max(self.last_contact_at, self.stall_ended_at)\n",
         "one that stood still or hears nobody holds others dead",
     ),
     _m(
         "stall-unseen",
         PROBING,
-        "if now - self.next_at > self.pace.late:",
-        "if now - self.next_at > 1_000 * self.pace.late:",
+        "if now - self.next_at > self.settings.stall_threshold:",
+        "if now - self.next_at > 1_000 * self.settings.stall_threshold:",
         "one that stood still does not notice",
     ),
     _m(
         "soon-alone",
         PROBING,
-        "self.was_soon = bool(self.soon) and not self.was_soon",
-        "self.was_soon = True",
+        "self.last_was_priority = bool(self.priority_targets) and not self.last_was_priority",
+        "self.last_was_priority = True",
         "suspects are probed and nobody else",
     ),
     _m(
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -28,7 +28,7 @@
     encode,
 )
 from limeridge.peers.peer import Peer
-from limeridge.peers.reach import Connectivity, Grade, Reach
+from limeridge.peers.reachability import Connectivity, Grade, Reachability
 from limeridge.peers.seeds import Patience, Seeker
 from limeridge.peers.setup import read
 from limeridge.peers.shares import NO_EPOCH, Holder, Offers, Terms, View, Voter
@@ -145,28 +145,28 @@
 
     def __init__(self, count: int = 8) -> None:
         self.members = Members(OWN)
-        self.pace = probing.Pace()
-        self.detector = probing.Detector(self.members, random.Random(3), self.pace, 0)
+        self.settings = probing.ProbeSettings()
+        self.detector = probing.Detector(self.members, random.Random(3), self.settings, 0)
         self.now = 0
         for number in range(count):
             change = self.members.merge(Claim(f"m{number}", Life(1, 1), 0, State.ALIVE), 0)
             assert change is not None
-            self.detector.changed(change, 0)
+            self.detector.handle_change(change, 0)
 
-    def go(self, until: int, answers: Any = lambda probe: True, nacks: bool = True) -> list[probing.Act]:
-        acts: list[probing.Act] = []
+    def go(self, until: int, answers: Any = lambda probe: True, nacks: bool = True) -> list[probing.Action]:
+        acts: list[probing.Action] = []
         while self.detector.next_at <= until:
             self.now = self.detector.next_at
             for act in self.detector.wake(self.now):
                 acts.append(act)
                 if isinstance(act, probing.Probe):
                     if answers(act):
-                        self.detector.answered(act.seq, act.target.name, self.now)
+                        self.detector.handle_ack(act.seq, act.target.name, self.now)
                     elif act.helper is not None and nacks:
-                        self.detector.refused(act.seq, act.helper.name, self.now)
-                elif isinstance(act, probing.Accuse):
+                        self.detector.handle_nack(act.seq, act.helper.name, self.now)
+                elif isinstance(act, probing.DeclareSuspect):
                     self.take(replace(act.target, state=State.SUSPECT))
-                    self.detector.accused(act.target.name, act.target.life, act.target.incarnation, "own")
+                    self.detector.add_accuser(act.target.name, act.target.life, act.target.incarnation, "own")
                 else:
                     self.take(replace(act.target, state=State.DEAD))
         return acts
@@ -174,7 +174,7 @@
     def take(self, claim: Claim) -> None:
         change = self.members.merge(claim, self.now)
         if change is not None:
-            self.detector.changed(change, self.now)
+            self.detector.handle_change(change, self.now)
 
 
 def test_everybody_is_probed_within_two_passes_and_a_silent_one_is_held_dead_in_time() -> None:
@@ -185,22 +185,22 @@
     assert not [act for act in acts if not isinstance(act, probing.Probe)]
     begun = probed.now
     acts = probed.go(begun + 60 * SECOND, lambda probe: probe.target.name != "m5")
-    held = [act for act in acts if isinstance(act, probing.Hold)]
+    held = [act for act in acts if isinstance(act, probing.DeclareDead)]
     assert [act.target.name for act in held] == ["m5"]
-    assert probed.detector.doubt == 0, "helpers that answered no speak for us"
+    assert probed.detector.health_score == 0, "helpers that answered no speak for us"
 
 
 def test_a_suspicion_is_shorter_the_more_share_it_and_ends_with_its_refutation() -> None:
     probed = Probed()
     suspect = Claim("m2", Life(1, 1), 0, State.SUSPECT)
     probed.take(suspect)
-    alone = probed.detector.suspicions["m2"].due()
+    alone = probed.detector.suspicions["m2"].deadline()
     for name in ("x", "y", "z", "w", "v"):
-        probed.detector.accused("m2", Life(1, 1), 0, name)
-    least, most = probed.detector.span()
+        probed.detector.add_accuser("m2", Life(1, 1), 0, name)
+    least, most = probed.detector.suspicion_bounds()
     assert alone == most
-    assert probed.detector.suspicions["m2"].due() == least
-    assert not probed.detector.accused("m2", Life(1, 1), 1, "u"), "of another incarnation"
+    assert probed.detector.suspicions["m2"].deadline() == least
+    assert not probed.detector.add_accuser("m2", Life(1, 1), 1, "u"), "of another incarnation"
     probed.take(replace(suspect, state=State.ALIVE, incarnation=1))
     assert "m2" not in probed.detector.suspicions
 
@@ -209,37 +209,41 @@
     probed = Probed()
     probed.go(3 * SECOND)
     probed.take(Claim("m2", Life(1, 1), 0, State.SUSPECT))
-    due = probed.detector.suspicions["m2"].due()
+    due = probed.detector.suspicions["m2"].deadline()
     probed.now += 300 * SECOND  # paused
     acts = probed.detector.wake(probed.now)
     assert probed.detector.stalls == 1
-    assert probed.detector.doubt == probed.pace.doubt
-    assert not [act for act in acts if isinstance(act, probing.Hold)], "the suspicion did not go on meanwhile"
-    assert probed.detector.suspicions["m2"].due() >= due + 299 * SECOND
+    assert probed.detector.health_score == probed.settings.max_health_score
+    assert not [act for act in acts if isinstance(act, probing.DeclareDead)], (
+        "the suspicion did not go on meanwhile"
+    )
+    assert probed.detector.suspicions["m2"].deadline() >= due + 299 * SECOND
     # Nobody answers: it accuses nobody before it has heard somebody again.
     acts = probed.go(probed.now + 30 * SECOND, lambda probe: False, nacks=False)
-    assert not [act for act in acts if isinstance(act, probing.Hold)]
+    assert not [act for act in acts if isinstance(act, probing.DeclareDead)]
 
 
 def test_grades_tell_one_way_links_and_those_cut_off_from_the_dead() -> None:
-    reach = Reach(fresh=4 * SECOND, back=10 * SECOND)
+    reachability = Reachability(freshness=4 * SECOND, recovery_period=10 * SECOND)
     claim = Claim("a", Life(1, 1), 0, State.ALIVE)
-    seen = reach.of("a")
-    assert reach.grade(claim, SECOND) is Grade.ALIVE
-    seen.unanswered, seen.by_others = 2 * SECOND, 2 * SECOND
-    assert reach.grade(claim, 3 * SECOND) is Grade.CUT_OFF
-    seen.heard = int(2.5 * SECOND)
-    assert reach.grade(claim, 3 * SECOND) is Grade.DEAF
-    seen.answered = 3 * SECOND
-    assert reach.grade(replace(claim, state=State.SUSPECT), 3 * SECOND) is Grade.SUSPECT
-    assert reach.grade(replace(claim, state=State.DEAD), 3 * SECOND) is Grade.GONE
-    seen.back = 3 * SECOND
-    assert reach.grade(claim, 4 * SECOND) is Grade.BACK
-    assert reach.look(1, 1, 0, SECOND) is Connectivity.MOST, "there never was anybody else"
-    assert reach.look(4, 6, 0, SECOND) is Connectivity.MOST
-    assert reach.look(3, 6, 0, 2 * SECOND) is Connectivity.FEW
-    assert reach.connectivity_since == 2 * SECOND
-    assert reach.look(6, 6, 0, 9 * SECOND) is Connectivity.ALONE
+    seen = reachability.contact("a")
+    assert reachability.grade(claim, SECOND) is Grade.ALIVE
+    seen.last_direct_timeout, seen.last_indirect_ack = 2 * SECOND, 2 * SECOND
+    assert reachability.grade(claim, 3 * SECOND) is Grade.CUT_OFF
+    seen.last_received = int(2.5 * SECOND)
+    assert reachability.grade(claim, 3 * SECOND) is Grade.DEAF
+    seen.last_direct_ack = 3 * SECOND
+    assert reachability.grade(replace(claim, state=State.SUSPECT), 3 * SECOND) is Grade.SUSPECT
+    assert reachability.grade(replace(claim, state=State.DEAD), 3 * SECOND) is Grade.GONE
+    seen.returned_at = 3 * SECOND
+    assert reachability.grade(claim, 4 * SECOND) is Grade.BACK
+    assert reachability.update_connectivity(1, 1, 0, SECOND) is Connectivity.MAJORITY, (
+        "there never was anybody else"
+    )
+    assert reachability.update_connectivity(4, 6, 0, SECOND) is Connectivity.MAJORITY
+    assert reachability.update_connectivity(3, 6, 0, 2 * SECOND) is Connectivity.MINORITY
+    assert reachability.connectivity_since == 2 * SECOND
+    assert reachability.update_connectivity(6, 6, 0, 9 * SECOND) is Connectivity.ISOLATED
 
 
 # ---- shares
