--- a/limeridge/peers/prober.py
+++ b/limeridge/peers/prober.py
@@ -1,7 +1,7 @@
-"""Probes on the wire: what the detector wants done becomes messages, and answers go back to it.
+"""Turns the failure detector's actions into messages and passes answers back to the detector.
 
-It owns the order in which detector and reach hear of an answer. It must never decide who is probed or
-suspected: probing.py does.
+This module decides only the order in which the detector and the reachability records see an answer. Whom to
+probe or suspect is decided in probing.py.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class Prober:
-    """Carries out what the failure detector asks for, and answers the probes of others."""
+    """Carries out the failure detector's actions and answers the probes of other members."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         self.outbox = outbox
 
     def wake(self, now: int) -> None:
-        """To be called at the detector's `next_at` or soon after."""
+        """Runs the detector. Call it at the detector's `next_at` or soon after."""
         stalls = self.detector.stalls
         for action in self.detector.wake(now):
             self._execute(action, now)
@@ -45,13 +45,13 @@
             self.outbox.log("peers", "stood-still", stalls=self.detector.stalls)
 
     def send_ack(self, ping: Ping) -> None:
-        """Answers a probe, unless it is the farewell of one that leaves."""
+        """Answers a probe, unless it is the announcement of a member that leaves."""
         if ping.seq == 0 and ping.own.state is State.LEFT:
             return
         self.outbox.send(ping.own, self.dissemination.ack(ping))
 
     def handle_ack(self, ack: Ack, now: int) -> None:
-        """Takes an answer to a probe of ours, or to one that we made for another."""
+        """Handles an ack of our own probe or of one that we made for another member."""
         if self.relays.handle_ack(ack):
             return
         direct = ack.of == ack.own.name
@@ -63,7 +63,7 @@
                 seen.last_indirect_ack = now
 
     def handle_nack(self, nack: Nack, now: int) -> None:
-        """Takes a helper's word that it had no answer either."""
+        """Handles a helper's report that its probe was not answered either."""
         self.detector.handle_nack(nack.seq, nack.own.name, now)
 
     def _execute(self, action: probing.Action, now: int) -> None:
--- a/limeridge/peers/reachability.py
+++ b/limeridge/peers/reachability.py
@@ -1,7 +1,7 @@
-"""How well each member is reached from here, and with how many of the known ones this instance stands.
+"""How well this instance reaches each member, and whether it is connected to a majority of them.
 
-It owns the grades and their reasons. It must never change what is held of a member: a grade is worked out
-from the table and from when something last came, and no other member hears of it.
+Grades are computed from the membership table and from the times of the last contacts. They are local: they
+change no claim and are not gossiped.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 
 
 class Grade(Enum):
-    """The text is the name in logs and tables."""
+    """Reachability of one member. The value is the name in logs and command output."""
 
     ALIVE = "alive"
-    BACK = "back"  # was gone a moment ago
+    BACK = "back"  # has recently returned after being dead or gone
     SUSPECT = "suspect"
-    DEAF = "deaf"  # we hear it, it does not hear us: one way of the link is cut
-    CUT_OFF = "cut-off"  # others hear it, we do not
-    GONE = "gone"  # left, or held dead by those in reach
+    DEAF = "deaf"  # its messages arrive but ours get no answer: the link fails in one direction
+    CUT_OFF = "cut-off"  # reachable through helpers but not directly
+    GONE = "gone"  # has left, or was declared dead
 
 
 class Connectivity(Enum):
-    """Among how many of the known members this instance stands. The text is the name in logs."""
+    """Which part of the known members this instance is connected to. The value is the name in logs."""
 
     MAJORITY = "most"
     MINORITY = "few"
@@ -34,20 +34,21 @@
 
 @dataclass(slots=True)
 class ContactTimes:
-    """Times of the last signs of one member; -1 where there was none."""
+    """Times of the last contacts with one member in microseconds; -1 if there was none."""
 
-    last_received: int = -1  # any datagram from it
-    last_direct_ack: int = -1  # its own answer to our own probe
-    last_indirect_ack: int = -1  # an answer that a helper brought
-    last_direct_timeout: int = -1  # a direct probe that ran out of time
-    returned_at: int = -1  # when it came back from being gone
-    misses: frozenset[str] = frozenset()  # whose answers do not reach it, as it said
-    misses_reported_at: int = -1  # and when
+    last_received: int = -1  # any message from it
+    last_direct_ack: int = -1  # its ack of a probe sent from here
+    last_indirect_ack: int = -1  # its ack relayed by a helper
+    last_direct_timeout: int = -1  # a direct probe that was not answered in time
+    returned_at: int = -1  # when it became alive again after being dead or gone
+    misses: frozenset[str] = frozenset()  # members whose acks do not reach it, as it last reported
+    misses_reported_at: int = -1
 
 
 @dataclass
 class Reachability:
-    """`fresh`: microseconds that a sign counts; `back`: how long one is called back."""
+    """Contact times of all members. `freshness` is how long a contact counts and `recovery_period` how long a
+    returned member is graded BACK, both in microseconds."""
 
     freshness: int
     recovery_period: int
@@ -56,15 +57,15 @@
     connectivity_since: int = 0
 
     def contact(self, name: str) -> ContactTimes:
-        """The signs of a member, empty where there were none yet."""
+        """The contact times of a member, which are created empty on first use."""
         return self.seen.setdefault(name, ContactTimes())
 
     def grade(self, claim: Claim, now: int) -> Grade:
-        """How well the member of this claim is reached from here."""
+        """Grades how well the member is reached from here."""
         seen = self.seen.get(claim.name) or ContactTimes()
         if claim.state >= State.DEAD:
             return Grade.GONE
-        # The last direct probe failed, and no answer to a later one came: the link is not whole.
+        # The last direct probe failed and no later one was answered.
         cut = seen.last_direct_timeout > seen.last_direct_ack
         if (
             cut
@@ -81,14 +82,14 @@
         return Grade.ALIVE
 
     def members_not_answering(self, names: Iterable[str]) -> Iterator[str]:
-        """Those of `names` whose answers to our own probes do not come."""
+        """Those of `names` that did not answer the last direct probe."""
         for name in names:
             seen = self.seen.get(name)
             if seen is not None and seen.last_direct_timeout > seen.last_direct_ack:
                 yield name
 
     def members_missing_our_acks(self, own: str, now: int) -> list[str]:
-        """Those who say that our answers do not reach them."""
+        """Names of members that report that acks from `own` do not reach them."""
         return sorted(
             name
             for name, seen in self.seen.items()
@@ -96,8 +97,9 @@
         )
 
     def update_connectivity(self, present: int, known: int, last_contact_at: int, now: int) -> Connectivity:
-        """`present` and `known` count ourselves; known are those present and those held dead, not those that
-        left: they said so. Alone is who heard nobody for as long as a sign counts."""
+        """Recomputes the connectivity. Both counts include this instance; `known` is the number of members
+        present or declared dead, without those that left on their own. An instance that received no answer
+        for `freshness` is isolated."""
         if known <= 1:
             connectivity = Connectivity.MAJORITY
         elif now - last_contact_at >= self.freshness or present <= 1:
--- a/limeridge/sim/mutants.py
+++ b/limeridge/sim/mutants.py
@@ -669,8 +669,8 @@
     _m(
         "isolated-holds-dead",
         PROBING,
-        "        alone = now - max(self.last_contact_at, self.stall_ended_at)\n",
-        "        return False\n        alone = now - max(self.last_contact_at, self.stall_ended_at)\n",
+        "        silence = now - max(self.last_contact_at, self.stall_ended_at)\n",
+        "        return False\n        silence = now - max(self.last_contact_at, self.stall_ended_at)\n",
         "one that stood still or hears nobody holds others dead",
     ),
     _m(
