--- a/limeridge/peers/discovery.py
+++ b/limeridge/peers/discovery.py
@@ -13,10 +13,10 @@
 from limeridge.peers.habits import Habits
 from limeridge.peers.members import Address, Members, State
 from limeridge.peers.outbox import Outbox
-from limeridge.peers.seeds import Seeker
+from limeridge.peers.seeds import NodeListReader
 from limeridge.peers.table_exchange import TableExchange
 
-MISSING_SEED_CHANCE = 0.25  # that one who knows others tries a seed that is none of them
+MISSING_SEED_PROBABILITY = 0.25  # that one who knows others tries a seed that is none of them
 
 
 class Discovery:
@@ -26,7 +26,7 @@
         self,
         members: Members,
         seeds: Sequence[Address],
-        seeker: Seeker | None,
+        list_reader: NodeListReader | None,
         tables: TableExchange,
         dissemination: Dissemination,
         habits: Habits,
@@ -35,58 +35,58 @@
         now: int,
     ) -> None:
         """`seeker`: decides when service discovery is asked; None where it is not to be asked."""
-        self.members, self.seeker, self.tables = members, seeker, tables
+        self.members, self.list_reader, self.tables = members, list_reader, tables
         self.seeds = [seed for seed in seeds if seed != members.own.address]
         self.dissemination, self.habits, self.rng = dissemination, habits, rng
         self.outbox = outbox
-        self.reads_list: Callable[[int], bool] | None = None  # whether this member reads it for others too
-        self.list_wanted = False  # until whoever drives the member has asked for the list
-        self.next_reach_out = now
+        self.may_read_list: Callable[[int], bool] | None = None  # whether this member reads it for others too
+        self.list_requested = False  # until whoever drives the member has asked for the list
+        self.next_reconnect_at = now
 
     def next_at(self) -> int:
         """When something is to be tried next, microseconds."""
-        if self.seeker is None:
-            return self.next_reach_out
-        return min(self.next_reach_out, self.seeker.next_at)
+        if self.list_reader is None:
+            return self.next_reconnect_at
+        return min(self.next_reconnect_at, self.list_reader.next_at)
 
     def wake(self, now: int) -> None:
         """To be called at `next_at` or soon after."""
-        if self.seeker is not None and now >= self.seeker.next_at:
-            self._seek(self.seeker, now)
-        if now >= self.next_reach_out:
-            self.next_reach_out = now + self.habits.reach_out
-            self._reach_out()
+        if self.list_reader is not None and now >= self.list_reader.next_at:
+            self._request_list(self.list_reader, now)
+        if now >= self.next_reconnect_at:
+            self.next_reconnect_at = now + self.habits.reach_out
+            self._reconnect()
 
-    def listed(self, words: Sequence[str]) -> None:
+    def receive_list(self, words: Sequence[str]) -> None:
         """Takes a part of service discovery's answer; `words` as seeds.py has them."""
-        if self.seeker is not None and not self.members.leaving:
-            self.seeker.heard(words, self.members.own.address)
-            self._try_listed(self.seeker)
+        if self.list_reader is not None and not self.members.leaving:
+            self.list_reader.receive(words, self.members.own.address)
+            self._contact_listed(self.list_reader)
 
-    def _reach_out(self) -> None:
+    def _reconnect(self) -> None:
         """To one who is held dead, and to a seed while nobody is known: the way back after a cut."""
         dead = sorted(self.members.others(State.DEAD), key=lambda claim: claim.name)
         if dead:
             target = self.rng.choice(dead)
-            self.outbox.send(target, self.dissemination.ping(target, 0))
+            self.outbox.send(target, self.dissemination.build_ping(target, 0))
         known = self._known()
         missing = [seed for seed in self.seeds if seed not in known]
-        if missing and (not self._others() or self.rng.random() < MISSING_SEED_CHANCE):
+        if missing and (not self._others() or self.rng.random() < MISSING_SEED_PROBABILITY):
             self.tables.ask(self.rng.choice(missing))
 
-    def _seek(self, seeker: Seeker, now: int) -> None:
+    def _request_list(self, list_reader: NodeListReader, now: int) -> None:
         """Those that the list named last time are tried, then it is asked again."""
-        self._try_listed(seeker)
+        self._contact_listed(list_reader)
         others = self._others()
         # One reads for all of its zone; whoever knows nobody reads for itself.
-        if others and self.reads_list is not None and not self.reads_list(now):
-            seeker.next_at = now + self.habits.sync
-        elif seeker.ask(others, now):
-            self.list_wanted = True
-
-    def _try_listed(self, seeker: Seeker) -> None:
-        for found in seeker.take(self._known()):
-            self.tables.ask(found)
+        if others and self.may_read_list is not None and not self.may_read_list(now):
+            list_reader.next_at = now + self.habits.sync
+        elif list_reader.should_request(others, now):
+            self.list_requested = True
+
+    def _contact_listed(self, list_reader: NodeListReader) -> None:
+        for address in list_reader.draw_candidates(self._known()):
+            self.tables.ask(address)
 
     def _known(self) -> set[Address]:
         return {claim.address for claim in self.members.present()}
--- a/limeridge/peers/dissemination.py
+++ b/limeridge/peers/dissemination.py
@@ -22,9 +22,9 @@
 from limeridge.peers.probing import Detector
 from limeridge.peers.reachability import Reachability
 
-ACCUSALS_MOST = 6  # carried by one datagram
-MISSES_MOST = 6
-ACCUSALS_KEPT = 256
+MAX_ACCUSATIONS_PER_DATAGRAM = 6  # carried by one datagram
+MAX_MISSES_PER_DATAGRAM = 6
+MAX_QUEUED_ACCUSATIONS = 256
 
 
 @dataclass(slots=True, frozen=True)
@@ -41,69 +41,80 @@
 
     def __init__(self, members: Members, detector: Detector, reachability: Reachability) -> None:
         self.members, self.detector, self.reachability = members, detector, reachability
-        self.accusals: dict[Accusation, int] = {}  # how often each was told
+        self.accusations: dict[Accusation, int] = {}  # how often each was told
 
-    def accuse(self, accusal: Accusation) -> None:
+    def add_accusation(self, accusation: Accusation) -> None:
         """Takes an accusation, our own or one that was heard; it is told on if it is new."""
-        new = self.detector.add_accuser(accusal.name, accusal.life, accusal.incarnation, accusal.by)
-        if new and len(self.accusals) < ACCUSALS_KEPT:
-            self.accusals.setdefault(accusal, 0)
+        new = self.detector.add_accuser(
+            accusation.name, accusation.life, accusation.incarnation, accusation.by
+        )
+        if new and len(self.accusations) < MAX_QUEUED_ACCUSATIONS:
+            self.accusations.setdefault(accusation, 0)
 
-    def withdraw(self, name: str) -> None:
+    def remove_accusations(self, name: str) -> None:
         """Forgets all accusations of a member that is no longer suspected."""
-        for accusal in [each for each in self.accusals if each.name == name]:
-            del self.accusals[accusal]
+        for accusation in [each for each in self.accusations if each.name == name]:
+            del self.accusations[accusation]
 
-    def ping(self, target: Claim, seq: int) -> Ping:
+    def build_ping(self, target: Claim, seq: int) -> Ping:
         """A probe of `target`, which hears first what is held against itself."""
-        first = [target.name] if target.state is not State.ALIVE else []
-        return self.ping_about(target.name, seq, first)
+        priority_names = [target.name] if target.state is not State.ALIVE else []
+        return self.build_ping_for(target.name, seq, priority_names)
 
-    def ping_about(self, to: str, seq: int, first: Iterable[str]) -> Ping:
-        """A probe of the member named `to`; the claims about `first` go ahead of all other news."""
-        news = self._piggyback(first)
+    def build_ping_for(self, to: str, seq: int, priority_names: Iterable[str]) -> Ping:
+        """A probe of the member named `to`; the claims about `priority_names` go ahead of all other news."""
+        piggyback = self._piggyback(priority_names)
         members = self.members
-        return Ping(seq, members.own, to, members.digest, news.claims, news.accusals, news.misses)
+        return Ping(
+            seq, members.own, to, members.digest, piggyback.claims, piggyback.accusals, piggyback.misses
+        )
 
-    def ack(self, ping: Ping) -> Ack:
+    def build_ack(self, ping: Ping) -> Ack:
         """Our answer to a probe."""
         sender, members = ping.own, self.members
         held = members.get(sender.name)
         # What we hold against it goes first, so that it can refute, or raise the number of its life.
-        first = [sender.name] if held is not None and held.supersedes(sender) else []
-        news = self._piggyback(first)
+        priority_names = [sender.name] if held is not None and held.supersedes(sender) else []
+        piggyback = self._piggyback(priority_names)
         own = members.own
-        return Ack(ping.seq, own, own.name, members.digest, news.claims, news.accusals, news.misses)
+        return Ack(
+            ping.seq, own, own.name, members.digest, piggyback.claims, piggyback.accusals, piggyback.misses
+        )
 
-    def _piggyback(self, first: Iterable[str]) -> Piggyback:
+    def _piggyback(self, priority_names: Iterable[str]) -> Piggyback:
         room = MAX_DATAGRAM_BYTES - MESSAGE_OVERHEAD_BYTES - CLAIM_FIXED_BYTES - self.members.own.text_bytes
-        misses = self._misses()
+        misses = self._missing_ack_names()
         room -= sum(utf8_length(name) + 3 for name in misses)
-        accusals = self._accusals(room)
-        room -= sum(map(_size, accusals))
+        accusations = self._select_accusations(room)
+        room -= sum(map(_max_size, accusations))
         return Piggyback(
-            tuple(self.members.select_updates(room, CLAIM_FIXED_BYTES, first)), tuple(accusals), misses
+            tuple(self.members.select_updates(room, CLAIM_FIXED_BYTES, priority_names)),
+            tuple(accusations),
+            misses,
         )
 
-    def _misses(self) -> tuple[str, ...]:
-        there = sorted(claim.name for claim in self.members.others(State.ALIVE, State.SUSPECT))
-        return tuple(islice(self.reachability.members_not_answering(there), MISSES_MOST))
+    def _missing_ack_names(self) -> tuple[str, ...]:
+        names = sorted(claim.name for claim in self.members.others(State.ALIVE, State.SUSPECT))
+        return tuple(islice(self.reachability.members_not_answering(names), MAX_MISSES_PER_DATAGRAM))
 
-    def _accusals(self, room: int) -> list[Accusation]:
+    def _select_accusations(self, available_bytes: int) -> list[Accusation]:
         """The least told first, in up to about half of `room` bytes; each counts as told."""
-        chosen: list[Accusation] = []
-        for accusal in sorted(self.accusals, key=lambda each: (self.accusals[each], each.name, each.by)):
-            takes = _size(accusal)
-            if len(chosen) >= ACCUSALS_MOST or takes > room // 2:  # half is left for claims
+        selected: list[Accusation] = []
+        for accusation in sorted(
+            self.accusations, key=lambda each: (self.accusations[each], each.name, each.by)
+        ):
+            size = _max_size(accusation)
+            # half is left for claims
+            if len(selected) >= MAX_ACCUSATIONS_PER_DATAGRAM or size > available_bytes // 2:
                 break
-            chosen.append(accusal)
-            room -= takes
-            self.accusals[accusal] += 1
-            if self.accusals[accusal] >= self.members.transmission_limit():
-                del self.accusals[accusal]
-        return chosen
+            selected.append(accusation)
+            available_bytes -= size
+            self.accusations[accusation] += 1
+            if self.accusations[accusation] >= self.members.transmission_limit():
+                del self.accusations[accusation]
+        return selected
 
 
-def _size(accusal: Accusation) -> int:
+def _max_size(accusation: Accusation) -> int:
     """Bytes on the wire, at the most."""
-    return CLAIM_FIXED_BYTES + utf8_length(accusal.name) + utf8_length(accusal.by)
+    return CLAIM_FIXED_BYTES + utf8_length(accusation.name) + utf8_length(accusation.by)
--- a/limeridge/peers/link.py
+++ b/limeridge/peers/link.py
@@ -43,7 +43,7 @@
     encode,
 )
 from limeridge.peers.peer import Peer, own_claim
-from limeridge.peers.seeds import Patience, Seeker
+from limeridge.peers.seeds import NodeListPolicy, NodeListReader
 from limeridge.peers.setup import PeerSetup
 
 MS = 1_000
@@ -89,11 +89,11 @@
     def ask(self) -> None:
         """Reports our own address and asks who is listed, in two datagrams; counts what could not be sent."""
         link, transport = self.link, cast(Any, self.transport)
-        seeker = link.peer.discovery.seeker
-        if transport is None or seeker is None:
+        list_reader = link.peer.discovery.list_reader
+        if transport is None or list_reader is None:
             return
         own, to = link.peer.own, (link.setup.node_list.host, link.setup.node_list.port)
-        for text in (f"AT {own.name} {own.host}:{own.port}", f"LIST {seeker.asked}"):
+        for text in (f"AT {own.name} {own.host}:{own.port}", f"LIST {list_reader.request_id}"):
             try:
                 transport.write(text.encode(), to)
             except OSError:
@@ -266,8 +266,8 @@
         own = own_claim(
             setup.name, peers.advertise or self.listen, int(unix() * 1e6), nonce, peers.zone, __version__
         )
-        seeker = Seeker(Patience(), rng, clock()) if peers.from_list else None
-        self.peer = Peer(own, peers.seeds, peers.habits, terms, rng, clock(), linger, seeker)
+        list_reader = NodeListReader(NodeListPolicy(), rng, clock()) if peers.from_list else None
+        self.peer = Peer(own, peers.seeds, peers.habits, terms, rng, clock(), linger, list_reader)
         self.listing = Listing(self) if peers.from_list else None
         self.gate = Gate(self.share, clock, linger)
         self.duty_delegate: DutyDelegate | None = None
@@ -315,7 +315,7 @@
             allotting = Allotting(allot, duties, Taker(allot), lambda: max(0, self.gate.need() - terms.floor))
             self.peer.deal_by(allotting.share)
         if told.list_read:
-            self.peer.discovery.reads_list = lambda at: duties.holder(name, at) in ("", own.name)
+            self.peer.discovery.may_read_list = lambda at: duties.holder(name, at) in ("", own.name)
         self.duty_delegate = DutyDelegate(duties, allotting)
         self.peer.attach(self.duty_delegate, now)
         return duties
@@ -403,7 +403,7 @@
 
     def listed(self, words: list[str]) -> None:
         """Takes a part of service discovery's answer, split at its blanks, without its first word."""
-        self.peer.discovery.listed(words)
+        self.peer.discovery.receive_list(words)
         self._turn()
 
     def streamed(self, data: bytes) -> Table | None:
@@ -466,8 +466,8 @@
     def _turn(self) -> None:
         """Sends and logs what there is, and sets the timer."""
         peer = self.peer
-        if peer.discovery.list_wanted:
-            peer.discovery.list_wanted = False
+        if peer.discovery.list_requested:
+            peer.discovery.list_requested = False
             if self.listing is not None:
                 self.listing.ask()
         for send in peer.outbox.take_sends():
--- a/limeridge/peers/peer.py
+++ b/limeridge/peers/peer.py
@@ -36,7 +36,7 @@
 from limeridge.peers.probing import Detector
 from limeridge.peers.reachability import Reachability
 from limeridge.peers.relays import Relays
-from limeridge.peers.seeds import Seeker
+from limeridge.peers.seeds import NodeListReader
 from limeridge.peers.share_exchange import ShareExchange
 from limeridge.peers.shares import Holder, Terms, View, Voter
 from limeridge.peers.table_exchange import TableExchange
@@ -62,7 +62,7 @@
         rng: random.Random,
         now: int,
         quiet: int = 0,
-        seeker: Seeker | None = None,
+        list_reader: NodeListReader | None = None,
     ) -> None:
         """`terms`: of the limit that is shared out, None where there is none; `quiet`: microseconds from now
         in which no call may begin; `seeker`: where members are found by service discovery too."""
@@ -85,7 +85,7 @@
         )
         self.tables = TableExchange(members, self.voter, habits, rng, outbox, now)
         self.discovery = Discovery(
-            members, seeds, seeker, self.tables, self.dissemination, habits, rng, outbox, now
+            members, seeds, list_reader, self.tables, self.dissemination, habits, rng, outbox, now
         )
         self.shares: ShareExchange | None = None
         if terms is not None and self.voter is not None:
@@ -208,7 +208,7 @@
         for claim in message.news:
             self.updates.merge(claim, now)
         for accusal in message.accusals:
-            self.dissemination.accuse(accusal)
+            self.dissemination.add_accusation(accusal)
         seen = self.reachability.contact(message.own.name)
         seen.misses, seen.misses_reported_at = frozenset(message.misses), now
         self.tables.compare(message, now)
--- a/limeridge/peers/prober.py
+++ b/limeridge/peers/prober.py
@@ -48,7 +48,7 @@
         """Answers a probe, unless it is the announcement of a member that leaves."""
         if ping.seq == 0 and ping.own.state is State.LEFT:
             return
-        self.outbox.send(ping.own, self.dissemination.ack(ping))
+        self.outbox.send(ping.own, self.dissemination.build_ack(ping))
 
     def handle_ack(self, ack: Ack, now: int) -> None:
         """Handles an ack of our own probe or of one that we made for another member."""
@@ -72,7 +72,9 @@
         elif isinstance(action, probing.DeclareSuspect):
             target, own = action.target, self.members.own
             self.updates.merge(replace(target, state=State.SUSPECT), now)
-            self.dissemination.accuse(Accusation(target.name, target.life, target.incarnation, own.name))
+            self.dissemination.add_accusation(
+                Accusation(target.name, target.life, target.incarnation, own.name)
+            )
         else:
             self.updates.merge(replace(action.target, state=State.DEAD), now)
 
@@ -82,6 +84,6 @@
             ask = PingRequest(probe.seq, self.members.own, target.name, target.host, target.port)
             self.outbox.send(probe.helper, ask)
             return
-        self.outbox.send(target, self.dissemination.ping(target, probe.seq))
+        self.outbox.send(target, self.dissemination.build_ping(target, probe.seq))
         if self.detector.round is not None and self.detector.round.indirect_probes_sent:
             self.reachability.contact(target.name).last_direct_timeout = now
--- a/limeridge/peers/relays.py
+++ b/limeridge/peers/relays.py
@@ -48,7 +48,7 @@
             return
         self.last_seq += 1
         self.open[self.last_seq] = Relay(ask.own, ask.seq, ask.to, now + self.wait)
-        ping = self.dissemination.ping_about(ask.to, self.last_seq, [ask.to])
+        ping = self.dissemination.build_ping_for(ask.to, self.last_seq, [ask.to])
         # To the address that the asker knows: it may be newer than ours.
         self.outbox.send_to((ask.host, ask.port), ping)
 
--- a/limeridge/peers/seeds.py
+++ b/limeridge/peers/seeds.py
@@ -18,96 +18,96 @@
 
 from limeridge.peers.members import Address
 
-ENTRIES_MOST = 400  # kept of an answer, drawn evenly; members hear of the others by gossip
-PARTS_MOST = 4_096  # of an answer, each a datagram
-TRIED_AT_ONCE = 3
+MAX_ENTRIES = 400  # kept of an answer, drawn evenly; members hear of the others by gossip
+MAX_PARTS = 4_096  # of an answer, each a datagram
+MAX_CONTACTS_AT_ONCE = 3
 
 
 @dataclass(slots=True, frozen=True)
-class Patience:
+class NodeListPolicy:
     """Times in microseconds."""
 
-    first: int = 500_000  # the first wait is drawn from up to this
-    longest: int = 20_000_000
-    seldom: int = 60_000_000  # between two askings of one who knows others
+    initial_backoff: int = 500_000  # the first wait is drawn from up to this
+    max_backoff: int = 20_000_000
+    interval: int = 60_000_000  # between two askings of one who knows others
     budget: int = 10  # askings within `seldom`
 
 
-class Seeker:
+class NodeListReader:
     """What one instance asks of the list."""
 
-    def __init__(self, patience: Patience, rng: random.Random, now: int) -> None:
-        self.patience, self.rng = patience, rng
-        self.tries = 0
-        self.left = patience.budget / 2
-        self.filled_at = now
-        self.next_at = now + int(rng.uniform(0, patience.first))
-        self.kept: list[tuple[int, Address]] = []  # each with the part in which it came
-        self.parts: set[int] = set()  # of the answer that is coming in
-        self.entries = 0  # in those parts
-        self.asked = 0  # its number
-
-    def ask(self, others: int, now: int) -> bool:
+    def __init__(self, policy: NodeListPolicy, rng: random.Random, now: int) -> None:
+        self.policy, self.rng = policy, rng
+        self.attempts = 0
+        self.tokens = policy.budget / 2
+        self.refilled_at = now
+        self.next_at = now + int(rng.uniform(0, policy.initial_backoff))
+        self.sample: list[tuple[int, Address]] = []  # each with the part in which it came
+        self.received_parts: set[int] = set()  # of the answer that is coming in
+        self.entry_count = 0  # in those parts
+        self.request_id = 0  # its number
+
+    def should_request(self, others: int, now: int) -> bool:
         """Whether the list is to be asked now; `others` is how many members are known beside ourselves. To be
         called at `next_at` or soon after."""
         if now < self.next_at:
             return False
-        patience = self.patience
-        gained = (now - self.filled_at) * patience.budget / patience.seldom
-        self.left = min(float(patience.budget), self.left + gained)
-        self.filled_at = now
+        policy = self.policy
+        gained = (now - self.refilled_at) * policy.budget / policy.interval
+        self.tokens = min(float(policy.budget), self.tokens + gained)
+        self.refilled_at = now
         if others:
-            self.tries = 0
-            self.next_at = now + int(self.rng.uniform(0.5, 1.5) * patience.seldom)
+            self.attempts = 0
+            self.next_at = now + int(self.rng.uniform(0.5, 1.5) * policy.interval)
         else:
-            bound = min(patience.longest, patience.first << min(self.tries, 16))
-            self.tries += 1
+            bound = min(policy.max_backoff, policy.initial_backoff << min(self.attempts, 16))
+            self.attempts += 1
             self.next_at = now + max(1, int(self.rng.uniform(0, bound)))
-        if self.left < 1:
+        if self.tokens < 1:
             return False
-        self.left -= 1
-        self.asked += 1
-        self.parts.clear()
+        self.tokens -= 1
+        self.request_id += 1
+        self.received_parts.clear()
         return True
 
-    def heard(self, words: Sequence[str], own: Address) -> None:
+    def receive(self, words: Sequence[str], own: Address) -> None:
         """`NUMBER PART PARTS HOST:PORT...` of an answer. What is of another asking, or no such thing, is
         passed over; a part that never comes leaves those that did."""
-        if len(words) < 3 or not all(word.isdecimal() and len(word) < 10 for word in words[:3]):
+        if len(words) < 3 or not all(item.isdecimal() and len(item) < 10 for item in words[:3]):
             return
-        number, part, parts = map(int, words[:3])
-        if number != self.asked or not 0 <= part < parts <= PARTS_MOST or part in self.parts:
+        request, part, parts = map(int, words[:3])
+        if request != self.request_id or not 0 <= part < parts <= MAX_PARTS or part in self.received_parts:
             return
-        if not self.parts:
-            self.kept, self.entries = [], 0
-        self.parts.add(part)
-        for word in words[3 : 3 + ENTRIES_MOST]:
-            address = address_of(word)
+        if not self.received_parts:
+            self.sample, self.entry_count = [], 0
+        self.received_parts.add(part)
+        for item in words[3 : 3 + MAX_ENTRIES]:
+            address = parse_address(item)
             if address is not None and address != own:
-                self._keep((part, address))
+                self._add_to_sample((part, address))
 
-    def _keep(self, entry: tuple[int, Address]) -> None:
+    def _add_to_sample(self, entry: tuple[int, Address]) -> None:
         """By reservoir sampling: of a list of any length each entry is as likely to be kept."""
-        self.entries += 1
-        if len(self.kept) < ENTRIES_MOST:
-            self.kept.append(entry)
-        elif (place := self.rng.randrange(self.entries)) < ENTRIES_MOST:
-            self.kept[place] = entry
+        self.entry_count += 1
+        if len(self.sample) < MAX_ENTRIES:
+            self.sample.append(entry)
+        elif (place := self.rng.randrange(self.entry_count)) < MAX_ENTRIES:
+            self.sample[place] = entry
 
     @property
-    def found(self) -> list[Address]:
+    def addresses(self) -> list[Address]:
         """What is kept of the answer, part by part."""
-        return [address for _, address in sorted(self.kept, key=lambda entry: entry[0])]
+        return [address for _, address in sorted(self.sample, key=lambda entry: entry[0])]
 
-    def take(self, known: set[Address]) -> list[Address]:
+    def draw_candidates(self, known: set[Address]) -> list[Address]:
         """Some to be tried, drawn anew: all readers must not fall on the first of the list."""
-        fresh = sorted(set(self.found) - known)
-        return self.rng.sample(fresh, min(TRIED_AT_ONCE, len(fresh)))
+        fresh = sorted(set(self.addresses) - known)
+        return self.rng.sample(fresh, min(MAX_CONTACTS_AT_ONCE, len(fresh)))
 
 
-def address_of(word: str) -> Address | None:
+def parse_address(item: str) -> Address | None:
     """The address that `HOST:PORT` names; None where it is no IP address with a port."""
-    host, _, port = word.rpartition(":")
+    host, _, port = item.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
     except ValueError:
--- a/limeridge/peers/updates.py
+++ b/limeridge/peers/updates.py
@@ -26,7 +26,7 @@
     ) -> None:
         self.members, self.detector, self.reachability = members, detector, reachability
         self.dissemination, self.outbox = dissemination, outbox
-        self.was_yielding = False
+        self.name_was_taken = False
 
     def merge(self, claim: Claim, now: int) -> None:
         """Takes a claim, heard or made here, about another member or about ourselves."""
@@ -45,7 +45,7 @@
         self.detector.handle_change(change, now)
         old, new = change.old, change.new
         if new.state is not State.SUSPECT:
-            self.dissemination.withdraw(new.name)
+            self.dissemination.remove_accusations(new.name)
         if old is not None and old.state >= State.DEAD and new.state is State.ALIVE:
             self.reachability.contact(new.name).returned_at = now
         if old is not None and old.life != new.life:
@@ -65,9 +65,9 @@
 
     def _log_conflict(self) -> None:
         """Logs when another live process takes our name, and when it is free again."""
-        if self.members.must_yield_name is self.was_yielding:
+        if self.members.must_yield_name is self.name_was_taken:
             return
-        self.was_yielding = self.members.must_yield_name
+        self.name_was_taken = self.members.must_yield_name
         other = self.members.conflict
         where = f"{other.host}:{other.port}" if other is not None else ""
-        self.outbox.log("peers", "name-taken" if self.was_yielding else "name-free", other=where)
+        self.outbox.log("peers", "name-taken" if self.name_was_taken else "name-free", other=where)
--- a/limeridge/scale/shared_rows.py
+++ b/limeridge/scale/shared_rows.py
@@ -6,7 +6,7 @@
 
 from limeridge.net.log import MOST as LOG_LINES_MOST
 from limeridge.net.log import SPAN as LOG_SPAN
-from limeridge.peers.seeds import Patience
+from limeridge.peers.seeds import NodeListPolicy
 from limeridge.peers.shares import Terms
 from limeridge.scale import assumptions as take
 from limeridge.scale.configured import Configured, both, current
@@ -230,16 +230,18 @@
 
 def messages(target: Target, evidence: Evidence) -> Iterator[Message]:
     """What is asked of others, and what they send."""
-    patience = Patience()
+    patience = NodeListPolicy()
     answers = evidence.at(
         member_cost(Role.SERVICE_DISCOVERY, "bytes out"), target.instances, take.DISCOVERY_BYTES
     )
-    readers = stated(Quantity(target.zones.value) / microseconds(patience.seldom), f"{target.zones} / minute")
+    readers = stated(
+        Quantity(target.zones.value) / microseconds(patience.interval), f"{target.zones} / minute"
+    )
     yield Message(
         Part.LIST_READER,
         "the list of all places, as an answer",
         "one reader in each zone",
-        each_interval(microseconds(patience.seldom)),
+        each_interval(microseconds(patience.interval)),
         answers.over(readers),
         READER_MODULES,
     )
--- a/limeridge/sim/mutants.py
+++ b/limeridge/sim/mutants.py
@@ -690,14 +690,14 @@
     _m(
         "dead-not-tried",
         DISCOVERY,
-        "            self._reach_out()\n",
+        "            self._reconnect()\n",
         "",
         "those held dead are never tried again",
     ),
     _m(
         "accusals-kept",
         DISSEMINATION,
-        "            if self.accusals[accusal] >= self.members.transmission_limit():\n",
+        "            if self.accusations[accusation] >= self.members.transmission_limit():\n",
         "            if False:\n",
         "accusations crowd all other news out",
     ),
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -29,7 +29,7 @@
 )
 from limeridge.peers.peer import Peer
 from limeridge.peers.reachability import Connectivity, Grade, Reachability
-from limeridge.peers.seeds import Patience, Seeker
+from limeridge.peers.seeds import NodeListPolicy, NodeListReader
 from limeridge.peers.setup import read
 from limeridge.peers.shares import NO_EPOCH, Holder, Offers, Terms, View, Voter
 from limeridge.settings.load import Unusable
@@ -449,7 +449,7 @@
         peer.updates.merge(
             replace(own, name=f"{number:064}", state=State.SUSPECT if number % 3 else State.ALIVE), 0
         )
-        peer.dissemination.accuse(Accusation(f"{number:064}", own.life, big, "b" * 64))
+        peer.dissemination.add_accusation(Accusation(f"{number:064}", own.life, big, "b" * 64))
     largest = 0
     for now in range(0, 60 * SECOND, 100 * MS):
         peer.wake(now)
@@ -496,25 +496,25 @@
 
 
 def test_a_reader_of_the_list_asks_ever_later_within_a_budget() -> None:
-    patience = Patience(first=1_000, longest=64_000, seldom=100_000, budget=10)
-    seeker = Seeker(patience, random.Random(3), 0)
-    asked = [now for now in range(400_000) if seeker.ask(0, now)]
+    patience = NodeListPolicy(initial_backoff=1_000, max_backoff=64_000, interval=100_000, budget=10)
+    seeker = NodeListReader(patience, random.Random(3), 0)
+    asked = [now for now in range(400_000) if seeker.should_request(0, now)]
     assert asked[0] < 1_000
     for start in range(0, 400_000, 10_000):
         within = [at for at in asked if start <= at < start + 100_000]
         assert len(within) <= 16, "the budget, and what was saved up of it"
     assert max(b - a for a, b in pairwise(asked)) <= 64_000
     # One that knows others asks seldom, and many readers not at one time.
-    known = Seeker(patience, random.Random(4), 0)
-    calm = [now for now in range(1_000_000) if known.ask(5, now)]
+    known = NodeListReader(patience, random.Random(4), 0)
+    calm = [now for now in range(1_000_000) if known.should_request(5, now)]
     assert 6 <= len(calm) <= 21
-    firsts = {Seeker(patience, random.Random(seed), 0).next_at // 100 for seed in range(200)}
+    firsts = {NodeListReader(patience, random.Random(seed), 0).next_at // 100 for seed in range(200)}
     assert len(firsts) >= 9
 
 
 def test_what_the_list_says_is_addresses_to_try_and_nothing_else() -> None:
-    seeker = Seeker(Patience(), random.Random(1), 0)
-    while not seeker.ask(0, seeker.next_at):
+    seeker = NodeListReader(NodeListPolicy(), random.Random(1), 0)
+    while not seeker.should_request(0, seeker.next_at):
         pass
     own = ("10.0.0.1", 7)
     for words in (
@@ -522,18 +522,18 @@
         ["1"],
         ["x", "0", "1", "10.0.0.2:7"],
         ["99", "0", "1", "10.0.0.2:7"],  # of another asking
-        [str(seeker.asked), "5", "3", "10.0.0.2:7"],
-        [str(seeker.asked), "0", "9999", "10.0.0.2:7"],
+        [str(seeker.request_id), "5", "3", "10.0.0.2:7"],
+        [str(seeker.request_id), "0", "9999", "10.0.0.2:7"],
     ):
-        seeker.heard(words, own)
-        assert seeker.found == []
-    number = str(seeker.asked)
-    seeker.heard([number, "1", "3", "10.0.0.4:7", "nowhere:7", "10.0.0.5:0", "10.0.0.6"], own)
-    seeker.heard([number, "0", "3", "10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7"], own)
-    assert seeker.found == [("10.0.0.2", 7), ("10.0.0.3", 7), ("10.0.0.4", 7)], "one part never came"
-    assert set(seeker.take({("10.0.0.2", 7)})) == {("10.0.0.3", 7), ("10.0.0.4", 7)}
-    seeker.heard([number, "2", "3", *(f"10.0.1.{n}:7" for n in range(250))], own)
-    assert len(seeker.take(set())) == 3, "some at a time"
+        seeker.receive(words, own)
+        assert seeker.addresses == []
+    number = str(seeker.request_id)
+    seeker.receive([number, "1", "3", "10.0.0.4:7", "nowhere:7", "10.0.0.5:0", "10.0.0.6"], own)
+    seeker.receive([number, "0", "3", "10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7"], own)
+    assert seeker.addresses == [("10.0.0.2", 7), ("10.0.0.3", 7), ("10.0.0.4", 7)], "one part never came"
+    assert set(seeker.draw_candidates({("10.0.0.2", 7)})) == {("10.0.0.3", 7), ("10.0.0.4", 7)}
+    seeker.receive([number, "2", "3", *(f"10.0.1.{n}:7" for n in range(250))], own)
+    assert len(seeker.draw_candidates(set())) == 3, "some at a time"
 
 
 # ---- many members on virtual time
@@ -587,7 +587,7 @@
     elif defect == "refute":  # a suspicion of ourselves is not answered
         monkeypatch.setattr(Members, "reconcile_own_claim", lambda self, claim, now: None)
     else:  # the dead are never tried again
-        monkeypatch.setattr(Discovery, "_reach_out", lambda self: None)
+        monkeypatch.setattr(Discovery, "_reconnect", lambda self: None)
     broke = virtual.run(scenario.draw(trial, 1)).broke
     assert broke and broke[0].startswith(rule), broke
 
