--- a/limeridge/peers/discovery.py
+++ b/limeridge/peers/discovery.py
@@ -1,7 +1,7 @@
-"""How members are found: by the seeds of the settings, by service discovery, and again after a cut.
+"""Finds members through the configured seeds and the node list, and reconnects after a network partition.
 
-It owns when each of these is tried. It must never take an address for a member: whoever answers there says
-who it is.
+This module decides when each of these is tried. An address found is not taken for a member until a process
+there has answered with its own claim.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from limeridge.peers.seeds import NodeListReader
 from limeridge.peers.table_exchange import TableExchange
 
-MISSING_SEED_PROBABILITY = 0.25  # that one who knows others tries a seed that is none of them
+MISSING_SEED_PROBABILITY = 0.25  # of contacting a seed that is not a known member while others are known
 
 
 class Discovery:
-    """Tries seeds, listed addresses and members that are held dead."""
+    """Contacts seeds, addresses from the node list and dead members."""
 
     def __init__(
         self,
@@ -34,23 +34,24 @@
         outbox: Outbox,
         now: int,
     ) -> None:
-        """`seeker`: decides when service discovery is asked; None where it is not to be asked."""
+        """`list_reader` decides when the node list is requested; None if it is not used."""
         self.members, self.list_reader, self.tables = members, list_reader, tables
         self.seeds = [seed for seed in seeds if seed != members.own.address]
         self.dissemination, self.habits, self.rng = dissemination, habits, rng
         self.outbox = outbox
-        self.may_read_list: Callable[[int], bool] | None = None  # whether this member reads it for others too
-        self.list_requested = False  # until whoever drives the member has asked for the list
+        # Whether this member may read the list at a given time; None: always.
+        self.may_read_list: Callable[[int], bool] | None = None
+        self.list_requested = False  # set here, cleared by the driver once it has sent the request
         self.next_reconnect_at = now
 
     def next_at(self) -> int:
-        """When something is to be tried next, microseconds."""
+        """When `wake` is due next, microseconds."""
         if self.list_reader is None:
             return self.next_reconnect_at
         return min(self.next_reconnect_at, self.list_reader.next_at)
 
     def wake(self, now: int) -> None:
-        """To be called at `next_at` or soon after."""
+        """Runs what is due. Call it at `next_at` or soon after."""
         if self.list_reader is not None and now >= self.list_reader.next_at:
             self._request_list(self.list_reader, now)
         if now >= self.next_reconnect_at:
@@ -58,13 +59,13 @@
             self._reconnect()
 
     def receive_list(self, words: Sequence[str]) -> None:
-        """Takes a part of service discovery's answer; `words` as seeds.py has them."""
+        """Handles one part of the node list; see `NodeListReader.receive` for the format of `words`."""
         if self.list_reader is not None and not self.members.leaving:
             self.list_reader.receive(words, self.members.own.address)
             self._contact_listed(self.list_reader)
 
     def _reconnect(self) -> None:
-        """To one who is held dead, and to a seed while nobody is known: the way back after a cut."""
+        """Pings a dead member and contacts a missing seed, so that partitions heal."""
         dead = sorted(self.members.others(State.DEAD), key=lambda claim: claim.name)
         if dead:
             target = self.rng.choice(dead)
@@ -75,10 +76,10 @@
             self.tables.ask(self.rng.choice(missing))
 
     def _request_list(self, list_reader: NodeListReader, now: int) -> None:
-        """Those that the list named last time are tried, then it is asked again."""
+        """Contacts addresses from the last list, then decides whether to request the list again."""
         self._contact_listed(list_reader)
         others = self._others()
-        # One reads for all of its zone; whoever knows nobody reads for itself.
+        # One member reads the list for its whole zone; a member that knows no others reads it itself.
         if others and self.may_read_list is not None and not self.may_read_list(now):
             list_reader.next_at = now + self.habits.sync
         elif list_reader.should_request(others, now):
@@ -92,5 +93,5 @@
         return {claim.address for claim in self.members.present()}
 
     def _others(self) -> int:
-        """How many are held to be there beside ourselves."""
+        """Number of other members that are alive or suspect."""
         return len(self.members.present()) - 1
--- a/limeridge/peers/dissemination.py
+++ b/limeridge/peers/dissemination.py
@@ -1,7 +1,6 @@
-"""What a ping or an ack carries along: claims that are news, accusations, and whose answers are missed here.
+"""Builds pings and acks with piggybacked updates, accusations and the names of members that do not answer.
 
-It owns the accusations that are still to be told, and the bound of a datagram. It must never send anything:
-it builds the messages.
+This module keeps the queue of accusations and bounds the size of each datagram. It does not send anything.
 """
 
 from __future__ import annotations
@@ -29,22 +28,22 @@
 
 @dataclass(slots=True, frozen=True)
 class Piggyback:
-    """What goes along with one ping or ack."""
+    """The gossip that one ping or ack carries."""
 
     claims: tuple[Claim, ...]
     accusals: tuple[Accusation, ...]
-    misses: tuple[str, ...]  # names whose answers do not reach this member
+    misses: tuple[str, ...]  # names of members whose acks do not reach this member
 
 
 class Dissemination:
-    """Builds pings and acks, each with as much news as one datagram has room for."""
+    """Builds pings and acks, each with as many updates as fit into one datagram."""
 
     def __init__(self, members: Members, detector: Detector, reachability: Reachability) -> None:
         self.members, self.detector, self.reachability = members, detector, reachability
-        self.accusations: dict[Accusation, int] = {}  # how often each was told
+        self.accusations: dict[Accusation, int] = {}  # how often each has been sent
 
     def add_accusation(self, accusation: Accusation) -> None:
-        """Takes an accusation, our own or one that was heard; it is told on if it is new."""
+        """Handles our own or a received accusation, and queues it for gossip if it is new."""
         new = self.detector.add_accuser(
             accusation.name, accusation.life, accusation.incarnation, accusation.by
         )
@@ -52,17 +51,18 @@
             self.accusations.setdefault(accusation, 0)
 
     def remove_accusations(self, name: str) -> None:
-        """Forgets all accusations of a member that is no longer suspected."""
+        """Drops all accusations of a member that is no longer suspect."""
         for accusation in [each for each in self.accusations if each.name == name]:
             del self.accusations[accusation]
 
     def build_ping(self, target: Claim, seq: int) -> Ping:
-        """A probe of `target`, which hears first what is held against itself."""
+        """Builds a probe of `target`. If the target is not alive here, the claim about it goes first so that
+        it can refute it."""
         priority_names = [target.name] if target.state is not State.ALIVE else []
         return self.build_ping_for(target.name, seq, priority_names)
 
     def build_ping_for(self, to: str, seq: int, priority_names: Iterable[str]) -> Ping:
-        """A probe of the member named `to`; the claims about `priority_names` go ahead of all other news."""
+        """Builds a probe of the member `to`. Claims about `priority_names` precede all other updates."""
         piggyback = self._piggyback(priority_names)
         members = self.members
         return Ping(
@@ -70,10 +70,11 @@
         )
 
     def build_ack(self, ping: Ping) -> Ack:
-        """Our answer to a probe."""
+        """Builds the answer to a probe."""
         sender, members = ping.own, self.members
         held = members.get(sender.name)
-        # What we hold against it goes first, so that it can refute, or raise the number of its life.
+        # If our claim supersedes the sender's, it goes first, so that the sender can refute it or raise the
+        # number of its life.
         priority_names = [sender.name] if held is not None and held.supersedes(sender) else []
         piggyback = self._piggyback(priority_names)
         own = members.own
@@ -98,13 +99,14 @@
         return tuple(islice(self.reachability.members_not_answering(names), MAX_MISSES_PER_DATAGRAM))
 
     def _select_accusations(self, available_bytes: int) -> list[Accusation]:
-        """The least told first, in up to about half of `room` bytes; each counts as told."""
+        """Selects the accusations that have been sent least often, in up to about half of `available_bytes`,
+        and counts each as sent once."""
         selected: list[Accusation] = []
         for accusation in sorted(
             self.accusations, key=lambda each: (self.accusations[each], each.name, each.by)
         ):
             size = _max_size(accusation)
-            # half is left for claims
+            # The other half is left for claims.
             if len(selected) >= MAX_ACCUSATIONS_PER_DATAGRAM or size > available_bytes // 2:
                 break
             selected.append(accusation)
@@ -116,5 +118,5 @@
 
 
 def _max_size(accusation: Accusation) -> int:
-    """Bytes on the wire, at the most."""
+    """Upper bound of the size on the wire in bytes."""
     return CLAIM_FIXED_BYTES + utf8_length(accusation.name) + utf8_length(accusation.by)
--- a/limeridge/peers/seeds.py
+++ b/limeridge/peers/seeds.py
@@ -1,12 +1,12 @@
-"""When service discovery is asked for members, and what its answer is good for.
+"""Decides when to request the node list from service discovery, and parses its answers.
 
-It owns the waits of a reader, its budget, and the reading of an answer. It must never take an entry of the
-list for a member: an entry is an address to try, and the list may be old, empty, or half there.
+An entry of the list is only an address to contact, never taken for a member: the list may be stale, empty or
+incomplete.
 
-A reader that knows others asks seldom; one that knows nobody asks soon, and then ever later: a wait drawn
-evenly from nothing up to a bound that doubles (full jitter), so that a fleet that starts at once does not ask
-at once. What it asks in a while has a budget, which an answer does not refill and a restart begins with half
-of.
+A reader that knows other members requests the list at long intervals. One that knows none uses exponential
+backoff with full jitter (a wait drawn uniformly between zero and a bound that doubles), so that a fleet that
+starts all at once does not send its requests all at once. A token bucket limits the requests; answers do not
+refill it, and a restarted process begins with half of it.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 
 from limeridge.peers.members import Address
 
-MAX_ENTRIES = 400  # kept of an answer, drawn evenly; members hear of the others by gossip
-MAX_PARTS = 4_096  # of an answer, each a datagram
+MAX_ENTRIES = 400  # kept of an answer, as a uniform sample; gossip finds the other members
+MAX_PARTS = 4_096  # of one answer; each part is a datagram
 MAX_CONTACTS_AT_ONCE = 3
 
 
@@ -27,14 +27,14 @@
 class NodeListPolicy:
     """Times in microseconds."""
 
-    initial_backoff: int = 500_000  # the first wait is drawn from up to this
+    initial_backoff: int = 500_000  # upper bound of the first random wait
     max_backoff: int = 20_000_000
-    interval: int = 60_000_000  # between two askings of one who knows others
-    budget: int = 10  # askings within `seldom`
+    interval: int = 60_000_000  # between two requests while other members are known
+    budget: int = 10  # requests per `interval`
 
 
 class NodeListReader:
-    """What one instance asks of the list."""
+    """Schedules one instance's requests for the node list and keeps a sample of the addresses received."""
 
     def __init__(self, policy: NodeListPolicy, rng: random.Random, now: int) -> None:
         self.policy, self.rng = policy, rng
@@ -42,14 +42,14 @@
         self.tokens = policy.budget / 2
         self.refilled_at = now
         self.next_at = now + int(rng.uniform(0, policy.initial_backoff))
-        self.sample: list[tuple[int, Address]] = []  # each with the part in which it came
-        self.received_parts: set[int] = set()  # of the answer that is coming in
-        self.entry_count = 0  # in those parts
-        self.request_id = 0  # its number
+        self.sample: list[tuple[int, Address]] = []  # with the part each address came in
+        self.received_parts: set[int] = set()  # of the answer to the current request
+        self.entry_count = 0  # valid entries in those parts
+        self.request_id = 0  # of the current request
 
     def should_request(self, others: int, now: int) -> bool:
-        """Whether the list is to be asked now; `others` is how many members are known beside ourselves. To be
-        called at `next_at` or soon after."""
+        """Whether to request the list now; a request is then counted as sent. `others` is the number of other
+        members known. Call it at `next_at` or soon after."""
         if now < self.next_at:
             return False
         policy = self.policy
@@ -71,8 +71,11 @@
         return True
 
     def receive(self, words: Sequence[str], own: Address) -> None:
-        """`NUMBER PART PARTS HOST:PORT...` of an answer. What is of another asking, or no such thing, is
-        passed over; a part that never comes leaves those that did."""
+        """Handles one part of an answer, `REQUEST PART PARTS HOST:PORT...` split at blanks.
+
+        Malformed parts and those that answer another request are ignored. If a part is lost, the others are
+        still used.
+        """
         if len(words) < 3 or not all(item.isdecimal() and len(item) < 10 for item in words[:3]):
             return
         request, part, parts = map(int, words[:3])
@@ -87,7 +90,7 @@
                 self._add_to_sample((part, address))
 
     def _add_to_sample(self, entry: tuple[int, Address]) -> None:
-        """By reservoir sampling: of a list of any length each entry is as likely to be kept."""
+        """Reservoir sampling: each entry is kept with equal probability, whatever the length of the list."""
         self.entry_count += 1
         if len(self.sample) < MAX_ENTRIES:
             self.sample.append(entry)
@@ -96,17 +99,18 @@
 
     @property
     def addresses(self) -> list[Address]:
-        """What is kept of the answer, part by part."""
+        """The sampled addresses, ordered by part."""
         return [address for _, address in sorted(self.sample, key=lambda entry: entry[0])]
 
     def draw_candidates(self, known: set[Address]) -> list[Address]:
-        """Some to be tried, drawn anew: all readers must not fall on the first of the list."""
-        fresh = sorted(set(self.addresses) - known)
-        return self.rng.sample(fresh, min(MAX_CONTACTS_AT_ONCE, len(fresh)))
+        """Draws a few unknown addresses to contact, at random so that readers do not all contact the first
+        entries of the list."""
+        unknown = sorted(set(self.addresses) - known)
+        return self.rng.sample(unknown, min(MAX_CONTACTS_AT_ONCE, len(unknown)))
 
 
 def parse_address(item: str) -> Address | None:
-    """The address that `HOST:PORT` names; None where it is no IP address with a port."""
+    """Parses `HOST:PORT`; returns None if it is not an IP address with a valid port."""
     host, _, port = item.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
--- a/limeridge/peers/updates.py
+++ b/limeridge/peers/updates.py
@@ -1,7 +1,7 @@
-"""What a claim that was heard changes here: the table of members first, then all that depend on it.
+"""Applies received claims to the membership table and to the components that depend on it.
 
-It owns the order in which detector, reach and accusations hear of a change. It must never decide whether a
-claim counts: members.py orders claims.
+This module decides the order in which the detector, the accusations and the contact times are updated.
+Whether a claim supersedes another one is decided in members.py.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Updates:
-    """Merges claims into the table and passes on what changed."""
+    """Merges claims into the table and notifies the dependent components of changes."""
 
     def __init__(
         self,
@@ -29,19 +29,19 @@
         self.name_was_taken = False
 
     def merge(self, claim: Claim, now: int) -> None:
-        """Takes a claim, heard or made here, about another member or about ourselves."""
+        """Applies a claim, received or made here, about another member or about this one."""
         if claim.name == self.members.own.name:
             self._refute(claim, now)
             self._log_conflict()
             return
         if claim == self.members.table.get(claim.name):
-            return  # by far the most of what comes says nothing new
+            return  # shortcut for the large majority of received claims, which are already known
         change = self.members.merge(claim, now)
         if change is not None:
             self.handle_change(change, now)
 
     def handle_change(self, change: Change, now: int) -> None:
-        """Passes a change of the table on to all parts that depend on it."""
+        """Notifies all dependent components of a change of the table."""
         self.detector.handle_change(change, now)
         old, new = change.old, change.new
         if new.state is not State.SUSPECT:
@@ -53,21 +53,21 @@
             seen.last_direct_ack = seen.last_indirect_ack = seen.last_direct_timeout = -1
 
     def _refute(self, claim: Claim, now: int) -> None:
-        """Answers a claim about ourselves, where it is wrong."""
+        """Refutes a wrong claim about this member."""
         if self.members.reconcile_own_claim(claim, now) is None:
             return
         own = self.members.own
-        # Somebody missed us: perhaps we are slow (Lifeguard).
+        # Being suspected may mean that this instance is slow (Lifeguard).
         if claim.life == own.life:
             self.detector.adjust_health_score(1)
         code = "refuted" if claim.life == own.life else "newer-life"
         self.outbox.log("peers", code, incarnation=own.incarnation, life=own.life.number)
 
     def _log_conflict(self) -> None:
-        """Logs when another live process takes our name, and when it is free again."""
+        """Logs when another live process takes over our name and when the name is free again."""
         if self.members.must_yield_name is self.name_was_taken:
             return
         self.name_was_taken = self.members.must_yield_name
         other = self.members.conflict
-        where = f"{other.host}:{other.port}" if other is not None else ""
-        self.outbox.log("peers", "name-taken" if self.name_was_taken else "name-free", other=where)
+        address = f"{other.host}:{other.port}" if other is not None else ""
+        self.outbox.log("peers", "name-taken" if self.name_was_taken else "name-free", other=address)
