--- a/limeridge/peers/discovery.py
+++ b/limeridge/peers/discovery.py
@@ -73,7 +73,7 @@
         known = self._known()
         missing = [seed for seed in self.seeds if seed not in known]
         if missing and (not self._others() or self.rng.random() < MISSING_SEED_PROBABILITY):
-            self.tables.ask(self.rng.choice(missing))
+            self.tables.exchange_with(self.rng.choice(missing))
 
     def _request_list(self, list_reader: NodeListReader, now: int) -> None:
         """Contacts addresses from the last list, then decides whether to request the list again."""
@@ -87,7 +87,7 @@
 
     def _contact_listed(self, list_reader: NodeListReader) -> None:
         for address in list_reader.draw_candidates(self._known()):
-            self.tables.ask(address)
+            self.tables.exchange_with(address)
 
     def _known(self) -> set[Address]:
         return {claim.address for claim in self.members.present()}
--- a/limeridge/peers/link.py
+++ b/limeridge/peers/link.py
@@ -313,7 +313,7 @@
         if told.allot and terms is not None:
             allot = AllotTerms(terms.surplus, told.allot, terms.longest, terms.drift)
             allotting = Allotting(allot, duties, Taker(allot), lambda: max(0, self.gate.need() - terms.floor))
-            self.peer.deal_by(allotting.share)
+            self.peer.use_allotted_surplus(allotting.share)
         if told.list_read:
             self.peer.discovery.may_read_list = lambda at: duties.holder(name, at) in ("", own.name)
         self.duty_delegate = DutyDelegate(duties, allotting)
@@ -528,7 +528,7 @@
             "stand": peer.reachability.connectivity.value,
             "stand_for_s": round((now - peer.reachability.connectivity_since) / 1e6, 1),
             "present": len(peer.members.present()),
-            "agree": peer.agree(),
+            "agree": peer.count_in_sync(),
             "missed_by": peer.reachability.members_missing_our_acks(peer.own.name, now),
             "doubt": peer.detector.health_score,
             "stalls": peer.detector.stalls,
@@ -539,15 +539,15 @@
         if peer.holder is not None and peer.voter is not None and peer.terms is not None:
             told["share"] = {
                 "calls": peer.share(now),
-                "why": peer.why(now),
+                "why": peer.reason(now),
                 "in_hand": self.gate.in_hand(),
                 "floor": peer.terms.floor,
                 "limit": peer.terms.limit,
                 "epoch": peer.voter.view.epoch[0],
                 "view": len(peer.voter.view.keys),
-                "voters": peer.holder.in_reach(now),
+                "voters": peer.holder.reachable_voters(now),
                 "quorum": peer.terms.quorum,
-                "silent": peer.voter.silent(now),
+                "silent": peer.voter.is_silent(now),
                 "turned_away": self.gate.turned_away,
                 "lapsed": self.gate.lapsed,
             }
@@ -567,5 +567,5 @@
             "zone": claim.zone,
             "version": claim.version,
             "for_s": round((now - peer.members.since.get(claim.name, now)) / 1e6, 1),
-            "agrees": own or claim.name in peer.alike,
+            "agrees": own or claim.name in peer.in_sync,
         }
--- a/limeridge/peers/observer.py
+++ b/limeridge/peers/observer.py
@@ -31,7 +31,7 @@
         self.shares, self.outbox = shares, outbox
         self.every, self.next_at = every, now
         self.grades: dict[str, Grade] = {}
-        self.was_why = ""
+        self.last_reason = ""
 
     def wake(self, now: int) -> None:
         """Looks where it is time to; with each call once this member leaves."""
@@ -41,7 +41,7 @@
             self._look_at_connectivity(now)
             self._look_at_share(now)
 
-    def forget(self, name: str) -> None:
+    def remove_member(self, name: str) -> None:
         """Drops what was logged of a member that is no longer in the table."""
         self.grades.pop(name, None)
 
@@ -79,7 +79,7 @@
     def _look_at_share(self, now: int) -> None:
         if self.shares is None:
             return
-        why = self.shares.why(now)
-        if why != self.was_why:
-            self.was_why = why
-            self.outbox.log("share", why, share=self.shares.share(now))
+        reason = self.shares.reason(now)
+        if reason != self.last_reason:
+            self.last_reason = reason
+            self.outbox.log("share", reason, share=self.shares.share(now))
--- a/limeridge/peers/peer.py
+++ b/limeridge/peers/peer.py
@@ -61,7 +61,7 @@
         terms: Terms | None,
         rng: random.Random,
         now: int,
-        quiet: int = 0,
+        startup_delay: int = 0,
         list_reader: NodeListReader | None = None,
     ) -> None:
         """`terms`: of the limit that is shared out, None where there is none; `quiet`: microseconds from now
@@ -89,7 +89,7 @@
         )
         self.shares: ShareExchange | None = None
         if terms is not None and self.voter is not None:
-            self.shares = ShareExchange(members, terms, self.voter, self.tables, outbox, now, quiet)
+            self.shares = ShareExchange(members, terms, self.voter, self.tables, outbox, now, startup_delay)
         self.delegates = Delegates(members, outbox)
         self.observer = Observer(members, detector, reachability, self.shares, outbox, now, interval // LOOKS)
 
@@ -121,13 +121,13 @@
         return self.outbox.events
 
     @property
-    def alike(self) -> set[str]:
+    def in_sync(self) -> set[str]:
         """The names of those that held the same table when last heard."""
-        return self.tables.alike
+        return self.tables.in_sync
 
-    def agree(self) -> int:
+    def count_in_sync(self) -> int:
         """How many of the others that are there held the same table when last heard."""
-        return self.tables.agreeing()
+        return self.tables.count_in_sync()
 
     # ---- time
 
@@ -151,7 +151,7 @@
             self.tables.wake(now)
         self.relays.expire(now)
         for claim in self.members.remove_expired(now, self.habits.remember):
-            self._forget(claim.name)
+            self._remove_member(claim.name)
         self.delegates.wake(self.unix, now)
         self.observer.wake(now)
 
@@ -168,10 +168,10 @@
         for claim in self.rng.sample(others, min(len(others), most)):
             self.outbox.send(claim, Ping(0, self.own, claim.name, self.members.digest))
 
-    def _forget(self, name: str) -> None:
+    def _remove_member(self, name: str) -> None:
         self.reachability.seen.pop(name, None)
-        self.observer.forget(name)
-        self.tables.forget(name)
+        self.observer.remove_member(name)
+        self.tables.remove_member(name)
 
     # ---- what came
 
@@ -211,17 +211,17 @@
             self.dissemination.add_accusation(accusal)
         seen = self.reachability.contact(message.own.name)
         seen.misses, seen.misses_reported_at = frozenset(message.misses), now
-        self.tables.compare(message, now)
+        self.tables.compare_digest(message, now)
 
     def _heard_of_shares(self, message: Renew | Support | Offer, now: int) -> None:
         if self.shares is None:
             return
         if isinstance(message, Renew):
-            self.shares.asked(message, now)
+            self.shares.handle_renew(message, now)
         elif isinstance(message, Support):
-            self.shares.supported(message, now)
+            self.shares.handle_support(message, now)
         else:
-            self.shares.offered(View(message.epoch, frozenset(message.keys)))
+            self.shares.handle_view(View(message.epoch, frozenset(message.keys)))
 
     def _heard_table(self, table: Table, now: int) -> Table | None:
         self.detector.last_contact_at = now
@@ -229,8 +229,8 @@
             self.updates.merge(claim, now)
         if self.shares is not None:
             epoch, keys = table.view
-            self.shares.offered(View(epoch, frozenset(keys)))
-        return self.tables.whole(answer=False) if table.answer else None
+            self.shares.handle_view(View(epoch, frozenset(keys)))
+        return self.tables.build_table(answer=False) if table.answer else None
 
     # ---- delegates
 
@@ -251,17 +251,17 @@
         """Calls in hand that this instance may have now; None where the limit is not shared out."""
         return self.shares.share(now) if self.shares is not None else None
 
-    def why(self, now: int) -> str:
+    def reason(self, now: int) -> str:
         """A reason code for the share; empty where the limit is not shared out."""
-        return self.shares.why(now) if self.shares is not None else ""
+        return self.shares.reason(now) if self.shares is not None else ""
 
-    def deal_by(self, above: Callable[[int], int]) -> None:
+    def use_allotted_surplus(self, allotted_surplus: Callable[[int], int]) -> None:
         """Lets a duty deal what is above the floors, in place of views.
 
         `above` gives this member's calls at a time. Nothing changes where the limit is not shared out.
         """
         if self.shares is not None:
-            self.shares.above = above
+            self.shares.allotted_surplus = allotted_surplus
 
 
 def own_claim(name: str, address: Address, unix: int, nonce: int, zone: str = "", version: str = "") -> Claim:
--- a/limeridge/peers/shares.py
+++ b/limeridge/peers/shares.py
@@ -39,8 +39,8 @@
 
 Epoch = tuple[int, str, int]  # counter, name and nonce of the process that made it
 NO_EPOCH: Epoch = (0, "", 0)
-FLAPS_KEPT = 60_000_000  # microseconds that a member's going is held against its coming back
-FLAPS_MOST = 4  # doublings of the wait
+FLAP_WINDOW = 60_000_000  # microseconds that a member's going is held against its coming back
+MAX_WAIT_DOUBLINGS = 4  # doublings of the wait
 
 
 @dataclass(slots=True, frozen=True)
@@ -88,22 +88,22 @@
 
     epoch: Epoch
     keys: frozenset[str]
-    _lucky: frozenset[str] | None = field(default=None, compare=False, repr=False)  # worked out once
+    _remainder_keys: frozenset[str] | None = field(default=None, compare=False, repr=False)  # worked out once
 
-    def part(self, key: str, surplus: int) -> int:
+    def allocation(self, key: str, surplus: int) -> int:
         """Whole calls; what is left over goes to the first in the order of their digests."""
         if key not in self.keys:
             return 0
-        each, over = divmod(surplus, len(self.keys))
-        return each + (key in self.lucky(over))
+        each, remainder = divmod(surplus, len(self.keys))
+        return each + (key in self.remainder_keys(remainder))
 
-    def lucky(self, over: int) -> frozenset[str]:
+    def remainder_keys(self, remainder: int) -> frozenset[str]:
         """The `over` lives that get one call more than the others."""
-        if self._lucky is None or len(self._lucky) != over:
+        if self._remainder_keys is None or len(self._remainder_keys) != remainder:
             purpose = f"{self.epoch[0]}"
-            first = sorted(self.keys, key=lambda key: (score_of(key, purpose), key))[:over]
-            object.__setattr__(self, "_lucky", frozenset(first))
-        return self._lucky or frozenset()
+            first = sorted(self.keys, key=lambda key: (score_of(key, purpose), key))[:remainder]
+            object.__setattr__(self, "_remainder_keys", frozenset(first))
+        return self._remainder_keys or frozenset()
 
 
 NO_VIEW = View(NO_EPOCH, frozenset())
@@ -113,16 +113,16 @@
     """What one voter has promised, in memory only."""
 
     def __init__(self, terms: Terms, now: int) -> None:
-        self.terms, self.born = terms, now
+        self.terms, self.started_at = terms, now
         self._hold, self._surplus = terms.hold, terms.surplus
         self.view = NO_VIEW
-        self.supported: dict[Epoch, tuple[View, int]] = {}  # and when last
+        self.supported_views: dict[Epoch, tuple[View, int]] = {}  # and when last
 
-    def silent(self, now: int) -> bool:
+    def is_silent(self, now: int) -> bool:
         """Whether it answers nobody yet: what an earlier life under its name supported may be in use."""
-        return now < self.born + self._hold
+        return now < self.started_at + self._hold
 
-    def offered(self, view: View) -> bool:
+    def accept(self, view: View) -> bool:
         """True where it is taken. One already known, or behind, changes nothing."""
         if view.epoch <= self.view.epoch:
             return False
@@ -131,52 +131,52 @@
 
     def support(self, key: str, now: int) -> tuple[Epoch, int] | None:
         """The answer to a holder's asking; None where it must keep silent."""
-        if self.silent(now):
+        if self.is_silent(now):
             return None
-        cap = self.view.part(key, self._surplus)
-        for epoch, (view, at) in list(self.supported.items()):
+        cap = self.view.allocation(key, self._surplus)
+        for epoch, (view, at) in list(self.supported_views.items()):
             if at + self._hold <= now:
-                del self.supported[epoch]
+                del self.supported_views[epoch]
             elif view is not self.view:
-                cap = min(cap, view.part(key, self._surplus))
+                cap = min(cap, view.allocation(key, self._surplus))
         # An answer that allows nothing promises nothing: it need not bind others.
         if cap > 0:
-            self.supported[self.view.epoch] = self.view, now
+            self.supported_views[self.view.epoch] = self.view, now
         return self.view.epoch, cap
 
 
 @dataclass(slots=True, frozen=True)
-class Supported:
+class SupportRecord:
     """The last answer of one voter; `asked_at` is when we asked for it, microseconds."""
 
     epoch: Epoch
     cap: int
-    asked_at: int
+    requested_at: int
 
 
 class Holder:
     """What one instance may use, from the answers that it got."""
 
-    def __init__(self, terms: Terms, now: int, quiet: int) -> None:
+    def __init__(self, terms: Terms, now: int, startup_delay: int) -> None:
         """`quiet`: microseconds from the start until the first call, in which what an earlier life under this
         name left behind at the records service is over."""
-        self.terms, self.begins = terms, now + quiet
+        self.terms, self.first_call_at = terms, now + startup_delay
         self._quorum, self._floor = terms.quorum, terms.floor  # asked for before each call
-        self.supports: dict[str, Supported] = {}
+        self.supports: dict[str, SupportRecord] = {}
 
-    def answered(self, voter: str, epoch: Epoch, cap: int, asked_at: int) -> None:
+    def record_support(self, voter: str, epoch: Epoch, cap: int, requested_at: int) -> None:
         """`asked_at` is our own time at the asking: the lease runs from there."""
         if not self.terms.votes(voter):
             return
         held = self.supports.get(voter)
-        if held is None or asked_at >= held.asked_at:
-            self.supports[voter] = Supported(epoch, max(0, cap), asked_at)
+        if held is None or requested_at >= held.requested_at:
+            self.supports[voter] = SupportRecord(epoch, max(0, cap), requested_at)
 
-    def _current(self, now: int) -> list[Supported]:
+    def _current(self, now: int) -> list[SupportRecord]:
         since = now - self.terms.lease
-        return [each for each in self.supports.values() if since < each.asked_at <= now]
+        return [each for each in self.supports.values() if since < each.requested_at <= now]
 
-    def in_reach(self, now: int) -> int:
+    def reachable_voters(self, now: int) -> int:
         """Voters whose answers still count, whatever their epoch."""
         return len(self._current(now))
 
@@ -191,69 +191,71 @@
 
     def share(self, now: int) -> int:
         """Calls in hand that this instance may have now. To be asked for before each call."""
-        if now < self.begins:
+        if now < self.first_call_at:
             return 0
         return self._floor + (self.surplus(now) or 0)
 
-    def why(self, now: int) -> str:
+    def reason(self, now: int) -> str:
         """A reason code for the share."""
-        if now < self.begins:
+        if now < self.first_call_at:
             return "starting"
         surplus = self.surplus(now)
         if surplus is None:
-            return "few-voters" if self.in_reach(now) < self.terms.quorum else "voters-differ"
+            return "few-voters" if self.reachable_voters(now) < self.terms.quorum else "voters-differ"
         return "dealt" if surplus > 0 else "floor-only"
 
-    def wants(self, voter: str, epoch: Epoch, now: int) -> bool:
+    def needs_renewal(self, voter: str, epoch: Epoch, now: int) -> bool:
         """Whether it is time to ask this voter again: half a lease after the last asking that it answered, or
         at once where that answer was under an older epoch than the highest known. Half a lease is left for
         askings and answers that get lost."""
         held = self.supports.get(voter)
-        return held is None or held.epoch < epoch or 2 * (now - held.asked_at) >= self.terms.lease
+        return held is None or held.epoch < epoch or 2 * (now - held.requested_at) >= self.terms.lease
 
-    def highest(self) -> Epoch:
+    def highest_epoch(self) -> Epoch:
         """The highest epoch that any voter answered under."""
         return max((each.epoch for each in self.supports.values()), default=NO_EPOCH)
 
 
 @dataclass
-class Offers:
+class ViewProposer:
     """When a voter makes a new view of the members that it knows."""
 
     terms: Terms
     own: str  # name
     nonce: int
-    wanted: frozenset[str] = frozenset()
-    since: int = 0
-    went: dict[str, list[int]] = field(default_factory=dict)  # by name, when it went
+    pending_keys: frozenset[str] = frozenset()
+    pending_since: int = 0
+    departures: dict[str, list[int]] = field(default_factory=dict)  # by name, when it went
 
-    def next(self, present: Iterable[Claim], view: View, highest: Epoch, reach: int, now: int) -> View | None:
+    def next_view(
+        self, present: Iterable[Claim], view: View, highest: Epoch, reachable_voters: int, now: int
+    ) -> View | None:
         """The view to be offered, if it is ours to offer and time. `present`: those held to be there,
         ourselves among them; `highest`: of all epochs heard of; `reach`: voters that answer us."""
         claims = list(present)
         keys = frozenset(claim.key for claim in claims)
-        if keys != self.wanted:
-            for name in {key.rpartition("/")[0] for key in self.wanted - keys}:
-                self.went.setdefault(name, []).append(now)
-            self.wanted, self.since = keys, now
-        if keys == view.keys or not self._ours(claims) or reach < self.terms.quorum:
+        if keys != self.pending_keys:
+            for name in {key.rpartition("/")[0] for key in self.pending_keys - keys}:
+                self.departures.setdefault(name, []).append(now)
+            self.pending_keys, self.pending_since = keys, now
+        if keys == view.keys or not self._is_proposer(claims) or reachable_voters < self.terms.quorum:
             return None
-        if now < self.since + self._wait(keys - view.keys, now):
+        if now < self.pending_since + self._settle_time(keys - view.keys, now):
             return None
         return View((max(view.epoch, highest)[0] + 1, self.own, self.nonce), keys)
 
-    def _ours(self, claims: list[Claim]) -> bool:
+    def _is_proposer(self, claims: list[Claim]) -> bool:
         """One voter has it, the same for all who know the same members: two that offer at a time only cost an
         epoch."""
         voters = [claim.name for claim in claims if self.terms.votes(claim.name)]
         return bool(voters) and max(voters, key=lambda name: (score_of(name, "views"), name)) == self.own
 
-    def _wait(self, coming: frozenset[str], now: int) -> int:
+    def _settle_time(self, joining: frozenset[str], now: int) -> int:
         """Longer for each time that one who comes went lately: a link that flaps must not take the newcomers'
         wait out on all others again and again. Who goes is never waited for."""
-        for name, times in list(self.went.items()):
-            self.went[name] = [at for at in times if now - at < FLAPS_KEPT]
-            if not self.went[name]:
-                del self.went[name]
-        flaps = max((len(self.went.get(key.rpartition("/")[0], ())) for key in coming), default=0)
-        return self.terms.settle << min(FLAPS_MOST, max(0, flaps - 1))
+        for name, times in list(self.departures.items()):
+            self.departures[name] = [at for at in times if now - at < FLAP_WINDOW]
+            if not self.departures[name]:
+                del self.departures[name]
+        flaps = max((len(self.departures.get(key.rpartition("/")[0], ())) for key in joining), default=0)
+        return self.terms.settle << min(MAX_WAIT_DOUBLINGS, max(0, flaps - 1))
--- a/limeridge/peers/table_exchange.py
+++ b/limeridge/peers/table_exchange.py
@@ -13,7 +13,7 @@
 from limeridge.peers.outbox import Outbox
 from limeridge.peers.shares import NO_VIEW, Voter
 
-SYNC_SPREAD = 0.75, 1.25  # of the interval: members must not sync in step
+SYNC_JITTER = 0.75, 1.25  # of the interval: members must not sync in step
 
 
 class TableExchange:
@@ -32,51 +32,51 @@
         self.members, self.voter, self.habits = members, voter, habits
         self.rng, self.outbox = rng, outbox
         self.next_at = now
-        self.alike: set[str] = set()  # those whose digest was ours when last heard
-        self.pulled: dict[str, int] = {}  # when each was last asked for its table
+        self.in_sync: set[str] = set()  # those whose digest was ours when last heard
+        self.last_requested: dict[str, int] = {}  # when each was last asked for its table
 
     def wake(self, now: int) -> None:
         """Asks one member, drawn anew, where it is time; to be called at `next_at` or soon after."""
         if now < self.next_at:
             return
-        self.next_at = now + int(self.habits.sync * self.rng.uniform(*SYNC_SPREAD))
+        self.next_at = now + int(self.habits.sync * self.rng.uniform(*SYNC_JITTER))
         others = sorted(self.members.others(State.ALIVE), key=lambda claim: claim.name)
         if others:
-            self.ask(self.rng.choice(others).address)
+            self.exchange_with(self.rng.choice(others).address)
 
-    def ask(self, to: Address) -> None:
+    def exchange_with(self, to: Address) -> None:
         """Sends our table to `to`, which sends its own back."""
-        self.outbox.send_to(to, self.whole(answer=True), stream=True)
+        self.outbox.send_to(to, self.build_table(answer=True), stream=True)
 
-    def pull(self, claim: Claim, now: int, every: int) -> None:
+    def request_table(self, claim: Claim, now: int, min_interval: int) -> None:
         """Asks a member for its table, unless it was asked less than `every` microseconds ago."""
-        if now - self.pulled.get(claim.name, -every) >= every:
-            self.pulled[claim.name] = now
-            self.ask(claim.address)
+        if now - self.last_requested.get(claim.name, -min_interval) >= min_interval:
+            self.last_requested[claim.name] = now
+            self.exchange_with(claim.address)
 
-    def whole(self, answer: bool) -> Table:
+    def build_table(self, answer: bool) -> Table:
         """Our table; `answer` asks for the other's in return."""
         view = self.voter.view if self.voter is not None else NO_VIEW
         claims = tuple(self.members.table.values())
         return Table(self.members.own, claims, (view.epoch, tuple(sorted(view.keys))), answer)
 
-    def compare(self, message: Ping | Ack, now: int) -> None:
+    def compare_digest(self, message: Ping | Ack, now: int) -> None:
         """Looks whether the sender's table is ours, by its digest, and asks for it where nothing else will
         make them alike."""
         name = message.own.name
         if message.digest == self.members.digest:
-            self.alike.add(name)
+            self.in_sync.add(name)
             return
-        self.alike.discard(name)
+        self.in_sync.discard(name)
         # News may be on its way; what news has run out of telling, a whole table mends.
         if not self.members.news and not self.members.leaving:
-            self.pull(message.own, now, self.habits.sync_soon)
+            self.request_table(message.own, now, self.habits.sync_soon)
 
-    def agreeing(self) -> int:
+    def count_in_sync(self) -> int:
         """How many of the others that are there had our digest when last heard."""
-        return sum(claim.name in self.alike for claim in self.members.others(State.ALIVE, State.SUSPECT))
+        return sum(claim.name in self.in_sync for claim in self.members.others(State.ALIVE, State.SUSPECT))
 
-    def forget(self, name: str) -> None:
+    def remove_member(self, name: str) -> None:
         """Drops what is kept of a member that is no longer in the table."""
-        self.pulled.pop(name, None)
-        self.alike.discard(name)
+        self.last_requested.pop(name, None)
+        self.in_sync.discard(name)
--- a/limeridge/sim/duties.py
+++ b/limeridge/sim/duties.py
@@ -108,7 +108,7 @@
             allotting = Allotting(
                 self.allot_terms, duties, Taker(self.allot_terms), need=lambda: self.setting.terms.limit
             )
-            process.peer.deal_by(allotting.share)
+            process.peer.use_allotted_surplus(allotting.share)
         delegate = self.delegates[process] = DutyDelegate(duties, allotting)
         process.peer.attach(delegate, process.clock())
         self.after(int(chance.uniform(0, 50) * MS), partial(self.work, process, delegate, chance))
--- a/limeridge/sim/mutants.py
+++ b/limeridge/sim/mutants.py
@@ -555,7 +555,7 @@
     _m(
         "cap-of-new-view",
         SHARES,
-        "cap = min(cap, view.part(key, self._surplus))",
+        "cap = min(cap, view.allocation(key, self._surplus))",
         "pass",
         "a voter looks at its newest view alone",
     ),
@@ -576,15 +576,15 @@
     _m(
         "speaks-at-once",
         SHARES,
-        "return now < self.born + self._hold",
+        "return now < self.started_at + self._hold",
         "return False",
         "a voter that has started answers as if it knew",
     ),
     _m(
         "lease-not-looked-at",
         SHARES,
-        "if since < each.asked_at <= now",
-        "if each.asked_at <= now",
+        "if since < each.requested_at <= now",
+        "if each.requested_at <= now",
         "a holder goes on with answers that are over",
     ),
     _m(
@@ -597,8 +597,8 @@
     _m(
         "parts-rounded-up",
         SHARES,
-        "return each + (key in self.lucky(over))",
-        "return each + (over > 0)",
+        "return each + (key in self.remainder_keys(remainder))",
+        "return each + (remainder > 0)",
         "what is left over is given to all",
     ),
     _m(
@@ -611,8 +611,8 @@
     _m(
         "no-quiet",
         SHARES,
-        "self.terms, self.begins = terms, now + quiet",
-        "self.terms, self.begins = terms, now",
+        "self.terms, self.first_call_at = terms, now + startup_delay",
+        "self.terms, self.first_call_at = terms, now",
         "a new life calls while its predecessor's calls are in hand",
     ),
     _m(
--- a/limeridge/sim/world.py
+++ b/limeridge/sim/world.py
@@ -983,7 +983,7 @@
         can = terms.surplus + terms.floor * len(self.machines)
         shares = [each.link.share() for each in self.machines]
         if sum(shares) < 0.95 * can:
-            why = {each.link.peer.holder.why(each.link.clock()) for each in self.machines}
+            why = {each.link.peer.holder.reason(each.link.clock()) for each in self.machines}
             return f"{sum(shares)} calls of {can} are dealt out ({', '.join(sorted(why))})"
         return ""
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -31,7 +31,7 @@
 from limeridge.peers.reachability import Connectivity, Grade, Reachability
 from limeridge.peers.seeds import NodeListPolicy, NodeListReader
 from limeridge.peers.setup import read
-from limeridge.peers.shares import NO_EPOCH, Holder, Offers, Terms, View, Voter
+from limeridge.peers.shares import NO_EPOCH, Holder, Terms, View, ViewProposer, Voter
 from limeridge.settings.load import Unusable
 from limeridge.sim import gossip
 from limeridge.trial import scenario, virtual
@@ -258,10 +258,10 @@
         for count in range(1, 12):
             names = [f"m{number}" for number in range(count)]
             each = view(3, *names)
-            parts = [each.part(name, surplus) for name in names]
+            parts = [each.allocation(name, surplus) for name in names]
             assert sum(parts) == surplus
             assert max(parts) - min(parts) <= 1
-    assert view(1, "a").part("b", 10) == 0
+    assert view(1, "a").allocation("b", 10) == 0
 
 
 def test_a_voter_shrinks_first_and_lets_grow_later() -> None:
@@ -269,55 +269,55 @@
     voter = Voter(terms, 0)
     assert voter.support("a", terms.hold - 1) is None, "silent: an earlier life may have promised"
     now = terms.hold
-    voter.offered(view(1, "a", "b"))
+    voter.accept(view(1, "a", "b"))
     assert voter.support("a", now) == ((1, "a", 1), 20)
-    assert not voter.offered(view(1, "a", by="")), "never back"
+    assert not voter.accept(view(1, "a", by="")), "never back"
     # One more: the others shrink at once, the newcomer waits until nobody can still use the old part.
-    voter.offered(view(2, "a", "b", "c"))
+    voter.accept(view(2, "a", "b", "c"))
     assert voter.support("a", now + 10)[1] in (13, 14)  # type: ignore[index]
     assert voter.support("c", now + 10)[1] == 0  # type: ignore[index]
     assert voter.support("c", now + terms.hold + 1)[1] in (13, 14)  # type: ignore[index]
     # One less: who stays grows only then.
     now += terms.hold + 10
-    voter.offered(view(3, "a", "b"))
+    voter.accept(view(3, "a", "b"))
     assert voter.support("a", now)[1] in (13, 14)  # type: ignore[index]
     assert voter.support("a", now + terms.hold + 1)[1] == 20  # type: ignore[index]
 
 
 def test_a_holder_needs_a_quorum_under_one_epoch_and_looks_at_the_time() -> None:
     terms = Terms(limit=60, capacity=5, doubles=0, floor_share=0.5, lease=SECOND)
-    holder = Holder(terms, 0, quiet=100)
+    holder = Holder(terms, 0, startup_delay=100)
     assert holder.share(50) == 0, "what an earlier life left at the ledger"
-    assert (holder.share(100), holder.why(100)) == (6, "few-voters")
+    assert (holder.share(100), holder.reason(100)) == (6, "few-voters")
     one, two = (1, "a", 1), (2, "a", 1)
     for name, epoch, cap in (("a", two, 6), ("b", two, 4), ("c", one, 9)):
-        holder.answered(name, epoch, cap, 200)
-    assert (holder.share(300), holder.why(300)) == (6, "voters-differ")
-    holder.answered("c", two, 5, 400)
-    assert (holder.share(500), holder.why(500)) == (10, "dealt"), "the least of the caps"
+        holder.record_support(name, epoch, cap, 200)
+    assert (holder.share(300), holder.reason(300)) == (6, "voters-differ")
+    holder.record_support("c", two, 5, 400)
+    assert (holder.share(500), holder.reason(500)) == (10, "dealt"), "the least of the caps"
     assert holder.share(200 + SECOND) == 6, "the lease of two of them is over, counted from the asking"
-    holder.answered("c", one, 9, 300)
+    holder.record_support("c", one, 9, 300)
     assert holder.supports["c"].epoch == two, "an answer to an older asking comes late"
 
 
 def test_views_are_offered_by_one_once_the_members_stand_still_and_flaps_wait_longer() -> None:
     terms = Terms(limit=60, capacity=3, settle=500 * MS)
     claims = [Claim(name, Life(1, 1), 0, State.ALIVE) for name in ("a", "b", "c")]
-    offers = {name: Offers(terms, name, 1) for name in ("a", "b", "c")}
+    offers = {name: ViewProposer(terms, name, 1) for name in ("a", "b", "c")}
     for each in offers.values():
-        assert each.next(claims, View(NO_EPOCH, frozenset()), NO_EPOCH, 3, 0) is None
+        assert each.next_view(claims, View(NO_EPOCH, frozenset()), NO_EPOCH, 3, 0) is None
     made = {
         name: view
         for name, each in offers.items()
-        if (view := each.next(claims, View(NO_EPOCH, frozenset()), NO_EPOCH, 3, SECOND)) is not None
+        if (view := each.next_view(claims, View(NO_EPOCH, frozenset()), NO_EPOCH, 3, SECOND)) is not None
     }
     assert len(made) == 1
     name, new = next(iter(made.items()))
     assert new.epoch == (1, name, 1)
     assert new.keys == {"a/1", "b/1", "c/1"}
-    alone = Offers(terms, name, 1)
-    alone.next(claims, View(NO_EPOCH, frozenset()), NO_EPOCH, 1, 0)
-    assert alone.next(claims, View(NO_EPOCH, frozenset()), NO_EPOCH, 1, SECOND) is None, (
+    alone = ViewProposer(terms, name, 1)
+    alone.next_view(claims, View(NO_EPOCH, frozenset()), NO_EPOCH, 1, 0)
+    assert alone.next_view(claims, View(NO_EPOCH, frozenset()), NO_EPOCH, 1, SECOND) is None, (
         "with few, none is made"
     )
     # One that comes and goes: each return waits twice as long; its going never waits longer.
@@ -326,7 +326,7 @@
     for _ in range(4):
         for present in ([claim for claim in claims if claim is not other], claims):
             begun = now
-            while (made_now := offer.next(present, stand, stand.epoch, 3, now)) is None:
+            while (made_now := offer.next_view(present, stand, stand.epoch, 3, now)) is None:
                 now += 50 * MS
             stand = made_now
             waits.append((now - begun) // MS)
@@ -366,7 +366,7 @@
             )
             views.append(View((epoch, f"{chance.randrange(count)}", epoch), keys))
         if views and chance.random() < 0.5:
-            chance.choice(voters).offered(chance.choice(views[-3:]))
+            chance.choice(voters).accept(chance.choice(views[-3:]))
         if chance.random() < 0.01:
             number = chance.randrange(count)
             lives[number] += 1
@@ -383,7 +383,7 @@
             flying.remove(each)
             _, number, target, asked, (life, answer) = each
             if life == lives[number]:
-                holders[number].answered(str(target), *answer, asked)
+                holders[number].record_support(str(target), *answer, asked)
         calls = [call for call in calls if call[1] > now]
         for number in chance.sample(range(count), count):
             while sum(whose == number for whose, _ in calls) + 1 <= holders[number].share(local[number]):
@@ -579,7 +579,7 @@
     elif defect == "quorum":  # one voter is enough
         monkeypatch.setattr(Terms, "quorum", property(lambda self: 1))
     elif defect == "silent":  # a voter that has started answers as if it knew
-        monkeypatch.setattr(Voter, "silent", lambda self, now: False)
+        monkeypatch.setattr(Voter, "is_silent", lambda self, now: False)
     elif defect == "older":  # lives are not told apart
         monkeypatch.setattr(
             Claim, "rank", property(lambda self: (Life(0, 0), self.incarnation, int(self.state)))
