--- a/limeridge/peers/share_exchange.py
+++ b/limeridge/peers/share_exchange.py
@@ -1,6 +1,7 @@
-"""This member's share of the fleet's limit on the wire: asking voters, answering holders, offering views.
+"""The message exchange about shares of the fleet-wide limit: renewals, supports and proposals of views.
 
-It owns the numbers of its askings and when they are made. It must never work a share out: shares.py does.
+This module decides when supports are requested and matches answers to requests. The shares themselves are
+computed in shares.py.
 """
 
 from __future__ import annotations
@@ -21,13 +22,13 @@
 from limeridge.peers.table_exchange import TableExchange
 
 MS = 1_000  # microseconds
-RENEWAL_CHECKS_PER_LEASE = 4  # looks within one lease at which voters are to be asked
-MIN_TABLE_REQUEST_INTERVAL = 250 * MS  # between two pulls of whole tables from the same member
-IDLE_INTERVAL = 1_000_000 * MS  # between two looks at renewals where a duty deals: nothing is to be renewed
+RENEWAL_CHECKS_PER_LEASE = 4  # how often within a lease it is checked which voters to ask again
+MIN_TABLE_REQUEST_INTERVAL = 250 * MS  # between two requests for the table of the same member
+IDLE_INTERVAL = 1_000_000 * MS  # between wake-ups while a duty allots the surplus and nothing is renewed
 
 
 class ShareExchange:
-    """What one member says and hears as holder, voter and maker of views."""
+    """Handles the messages of one member as a holder, as a voter and as a proposer of views."""
 
     def __init__(
         self,
@@ -39,28 +40,28 @@
         now: int,
         startup_delay: int,
     ) -> None:
-        """`quiet`: microseconds from now in which no call may begin, as shares.Holder has it."""
+        """No call may begin for `startup_delay` microseconds, see shares.Holder."""
         self.members, self.terms, self.voter = members, terms, voter
         self.tables, self.outbox = tables, outbox
         self.holder = Holder(terms, now, startup_delay)
         self.proposer = ViewProposer(terms, members.own.name, members.own.life.nonce)
-        self.allotted_surplus: Callable[[int], int] | None = (
-            None  # calls above the floor, where a duty deals them
-        )
+        # Calls above the floor at a given time, if a duty allots them; None: views divide the surplus.
+        self.allotted_surplus: Callable[[int], int] | None = None
         self.next_at = now
         self.last_seq = 0
-        self.pending_renewals: dict[int, int] = {}  # open askings and when they were made
+        self.pending_renewals: dict[int, int] = {}  # requests by number, with their times
 
     # ---- the share
 
     def share(self, now: int) -> int:
-        """Calls in hand that this instance may have now."""
+        """Concurrent calls that this instance may have now."""
         share = self.holder.share(now)
         if self.allotted_surplus is not None and now >= self.holder.first_call_at:
             share = self.terms.floor + self.allotted_surplus(now)
         present = len(self.members.present())
         if present > self.terms.capacity + self.terms.doubles:
-            # More than the settings allow for: no promise holds, but it must not grow with their number.
+            # More processes than configured: the limit is no longer guaranteed, but the total must not grow
+            # with their number.
             share = min(share, self.terms.limit // present)
         if self.members.must_yield_name or self.members.leaving:
             return min(share, self.terms.floor)
@@ -72,13 +73,13 @@
             return self.holder.reason(now)
         return "by-need" if self.allotted_surplus(now) else "floor-only"
 
-    # ---- asking
+    # ---- requests
 
     def wake(self, now: int) -> None:
-        """Asks the voters whose answers are to be renewed; to be called at `next_at` or soon after."""
+        """Asks the voters whose answers need renewal. Call it at `next_at` or soon after."""
         if now < self.next_at:
             return
-        if self.allotted_surplus is not None:  # no views are made where a duty deals
+        if self.allotted_surplus is not None:  # a duty allots the surplus in place of views
             self.next_at = now + IDLE_INTERVAL
             return
         self.next_at = now + self.terms.lease // RENEWAL_CHECKS_PER_LEASE
@@ -95,7 +96,7 @@
                 self.outbox.send(claim, Renew(self.last_seq, self.members.own, self.voter.view.epoch))
 
     def handle_support(self, support: Support, now: int) -> None:
-        """Takes a voter's answer, where it is to an asking that is still open."""
+        """Handles a voter's answer to a request that is still pending."""
         requested_at = self.pending_renewals.get(support.seq)
         if requested_at is not None:
             self.holder.record_support(support.own.name, support.epoch, support.cap, requested_at)
@@ -111,11 +112,11 @@
     # ---- voting
 
     def handle_renew(self, renew: Renew, now: int) -> None:
-        """Answers a holder, where this member votes."""
+        """Answers a holder's request if this member is a voter."""
         if not self._is_voter() or self.members.leaving:
             return
         if self.members.must_yield_name:
-            return  # another process votes under this name
+            return  # the other process with this name votes
         sender = renew.own
         answer = self.voter.support(sender.key, now)
         if answer is not None:
@@ -123,7 +124,7 @@
         self._catch_up(sender, renew.epoch, now)
 
     def handle_view(self, view: View) -> None:
-        """Takes a view, where it is newer than the one that is held."""
+        """Handles a proposed view; it takes effect if it is newer than the current one."""
         if self.voter.accept(view):
             epoch, by, _ = view.epoch
             self.outbox.log("peers", "view", epoch=epoch, by=by, members=len(view.keys))
@@ -131,7 +132,7 @@
     # ---- views
 
     def _propose_view(self, highest: Epoch, now: int) -> None:
-        """Makes a new view and sends it to all voters, where it is time and this member's turn."""
+        """Proposes a new view to all voters if it is time and this member's turn."""
         present, reachable_voters = self.members.present(), self.holder.reachable_voters(now)
         view = self.proposer.next_view(present, self.voter.view, highest, reachable_voters, now)
         if view is not None and not self.members.must_yield_name:
@@ -151,7 +152,7 @@
             self.outbox.send(claim, offer, stream=size > MAX_DATAGRAM_BYTES)
 
     def _catch_up(self, other: Claim, epoch: Epoch, now: int) -> None:
-        """Asks for the table of one that knows a newer view."""
+        """Requests the table of a member that knows a newer view."""
         if epoch > self.voter.view.epoch:
             self.tables.request_table(other, now, MIN_TABLE_REQUEST_INTERVAL)
 
--- a/limeridge/peers/table_exchange.py
+++ b/limeridge/peers/table_exchange.py
@@ -1,6 +1,7 @@
-"""Whole tables over TCP: the repair of whatever news by datagrams did not bring (anti-entropy).
+"""Anti-entropy: exchanges whole membership tables over TCP, to repair what gossip by datagrams missed.
 
-It owns when a table is asked for, and who holds the same one. It must never open a connection.
+This module decides when a table is requested, and records which members hold the same table. It opens no
+connections.
 """
 
 from __future__ import annotations
@@ -13,11 +14,11 @@
 from limeridge.peers.outbox import Outbox
 from limeridge.peers.shares import NO_VIEW, Voter
 
-SYNC_JITTER = 0.75, 1.25  # of the interval: members must not sync in step
+SYNC_JITTER = 0.75, 1.25  # factors of the interval, so that members do not synchronize in step
 
 
 class TableExchange:
-    """Sends our table, and asks for those of others."""
+    """Sends this member's table and requests those of others."""
 
     def __init__(
         self,
@@ -28,15 +29,15 @@
         outbox: Outbox,
         now: int,
     ) -> None:
-        """`voter`: whose view goes along with our table, where the limit is shared out."""
+        """The view of `voter` is sent along with the table; None if the limit is not shared out."""
         self.members, self.voter, self.habits = members, voter, habits
         self.rng, self.outbox = rng, outbox
         self.next_at = now
-        self.in_sync: set[str] = set()  # those whose digest was ours when last heard
-        self.last_requested: dict[str, int] = {}  # when each was last asked for its table
+        self.in_sync: set[str] = set()  # members whose last digest equalled ours
+        self.last_requested: dict[str, int] = {}  # by name: when its table was last requested
 
     def wake(self, now: int) -> None:
-        """Asks one member, drawn anew, where it is time; to be called at `next_at` or soon after."""
+        """Exchanges tables with a random member if it is time. Call it at `next_at` or soon after."""
         if now < self.next_at:
             return
         self.next_at = now + int(self.habits.sync * self.rng.uniform(*SYNC_JITTER))
@@ -45,38 +46,38 @@
             self.exchange_with(self.rng.choice(others).address)
 
     def exchange_with(self, to: Address) -> None:
-        """Sends our table to `to`, which sends its own back."""
+        """Sends our table to `to`, which answers with its own."""
         self.outbox.send_to(to, self.build_table(answer=True), stream=True)
 
     def request_table(self, claim: Claim, now: int, min_interval: int) -> None:
-        """Asks a member for its table, unless it was asked less than `every` microseconds ago."""
+        """Requests a member's table unless that was done less than `min_interval` microseconds ago."""
         if now - self.last_requested.get(claim.name, -min_interval) >= min_interval:
             self.last_requested[claim.name] = now
             self.exchange_with(claim.address)
 
     def build_table(self, answer: bool) -> Table:
-        """Our table; `answer` asks for the other's in return."""
+        """Builds the message with our table; `answer` requests the receiver's in return."""
         view = self.voter.view if self.voter is not None else NO_VIEW
         claims = tuple(self.members.table.values())
         return Table(self.members.own, claims, (view.epoch, tuple(sorted(view.keys))), answer)
 
     def compare_digest(self, message: Ping | Ack, now: int) -> None:
-        """Looks whether the sender's table is ours, by its digest, and asks for it where nothing else will
-        make them alike."""
+        """Compares the sender's digest with ours, and requests its table if gossip will not reconcile the
+        two."""
         name = message.own.name
         if message.digest == self.members.digest:
             self.in_sync.add(name)
             return
         self.in_sync.discard(name)
-        # News may be on its way; what news has run out of telling, a whole table mends.
+        # While updates are queued, gossip may still reconcile the tables.
         if not self.members.news and not self.members.leaving:
             self.request_table(message.own, now, self.habits.sync_soon)
 
     def count_in_sync(self) -> int:
-        """How many of the others that are there had our digest when last heard."""
+        """Number of other present members whose last digest equalled ours."""
         return sum(claim.name in self.in_sync for claim in self.members.others(State.ALIVE, State.SUSPECT))
 
     def remove_member(self, name: str) -> None:
-        """Drops what is kept of a member that is no longer in the table."""
+        """Drops the records of a member that is no longer in the table."""
         self.last_requested.pop(name, None)
         self.in_sync.discard(name)
