--- a/limeridge/__main__.py
+++ b/limeridge/__main__.py
@@ -53,10 +53,10 @@
     if path is None:
         return None
     try:
-        from limeridge.peers.join import joining
+        from limeridge.peers.join import member_factory
     except ImportError as trouble:
         raise Unusable(f"--peers: expected the extra `peers` to be installed: {trouble}") from None
-    return joining(path)
+    return member_factory(path)
 
 
 if __name__ == "__main__":
--- a/limeridge/duty/allot.py
+++ b/limeridge/duty/allot.py
@@ -24,7 +24,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from limeridge.peers.digest import score_of
+from limeridge.peers.digest import rendezvous_score
 
 
 @dataclass(slots=True, frozen=True)
@@ -55,7 +55,7 @@
     while hungry and left:
         level = left // len(hungry)
         if level == 0:
-            for name in sorted(hungry, key=lambda each: (-score_of(each, "allot"), each))[:left]:
+            for name in sorted(hungry, key=lambda each: (-rendezvous_score(each, "allot"), each))[:left]:
                 given[name] += 1
             break
         filled = [name for name in hungry if needs[name] - given[name] <= level]
--- a/limeridge/duty/delegate.py
+++ b/limeridge/duty/delegate.py
@@ -37,7 +37,7 @@
             self.allotting.wake(now)
         self._take()
 
-    def heard(self, sender: Claim, body: bytes, unix: int, now: int) -> None:
+    def receive(self, sender: Claim, body: bytes, unix: int, now: int) -> None:
         """Takes what the same part of another member sent; what cannot be read is counted."""
         said = words.decode(body)
         if said is None:
--- a/limeridge/duty/seek.py
+++ b/limeridge/duty/seek.py
@@ -17,7 +17,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from limeridge.peers.digest import score_of
+from limeridge.peers.digest import rendezvous_score
 
 RENEW = 3  # askings within a lease
 RANKS = 4  # ranks that wait longer one after the other; all behind them wait alike, and draw
@@ -51,7 +51,7 @@
 
     def ranked(self, present: Sequence[str]) -> list[str]:
         """The names in the order in which they ask for this duty; the same at all members."""
-        return sorted(present, key=lambda name: (-score_of(name, f"duty {self.duty}"), name))
+        return sorted(present, key=lambda name: (-rendezvous_score(name, f"duty {self.duty}"), name))
 
     def rank(self, present: Sequence[str]) -> int:
         """0 for the first; those that are not there come last."""
--- a/limeridge/peers/digest.py
+++ b/limeridge/peers/digest.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 
-class Digested(Protocol):
+class ClaimLike(Protocol):
     """What a digest is made of."""
 
     @property
@@ -26,13 +26,13 @@
         """Its place in the order of claims under the same name."""
 
 
-def digest_of(claim: Digested) -> int:
+def claim_digest(claim: ClaimLike) -> int:
     """64 bits; the digest of a table is the exclusive or of its claims', so that a change costs one of
     them."""
     text = f"{claim.name}\0{claim.rank}".encode()
     return int.from_bytes(blake2b(text, digest_size=8).digest(), "big")
 
 
-def score_of(name: str, purpose: str) -> int:
+def rendezvous_score(name: str, purpose: str) -> int:
     """64 bits for rendezvous hashing (Thaler, Ravishankar 1998): the highest score has the purpose."""
     return int.from_bytes(blake2b(f"{purpose}\0{name}".encode(), digest_size=8).digest(), "big")
--- a/limeridge/peers/discovery.py
+++ b/limeridge/peers/discovery.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Sequence
 
 from limeridge.peers.dissemination import Dissemination
-from limeridge.peers.habits import Habits
+from limeridge.peers.intervals import Intervals
 from limeridge.peers.members import Address, Members, State
 from limeridge.peers.outbox import Outbox
 from limeridge.peers.seeds import NodeListReader
@@ -29,7 +29,7 @@
         list_reader: NodeListReader | None,
         tables: TableExchange,
         dissemination: Dissemination,
-        habits: Habits,
+        intervals: Intervals,
         rng: random.Random,
         outbox: Outbox,
         now: int,
@@ -37,7 +37,7 @@
         """`list_reader` decides when the node list is requested; None if it is not used."""
         self.members, self.list_reader, self.tables = members, list_reader, tables
         self.seeds = [seed for seed in seeds if seed != members.own.address]
-        self.dissemination, self.habits, self.rng = dissemination, habits, rng
+        self.dissemination, self.intervals, self.rng = dissemination, intervals, rng
         self.outbox = outbox
         # Whether this member may read the list at a given time; None: always.
         self.may_read_list: Callable[[int], bool] | None = None
@@ -55,7 +55,7 @@
         if self.list_reader is not None and now >= self.list_reader.next_at:
             self._request_list(self.list_reader, now)
         if now >= self.next_reconnect_at:
-            self.next_reconnect_at = now + self.habits.reach_out
+            self.next_reconnect_at = now + self.intervals.reconnect
             self._reconnect()
 
     def receive_list(self, words: Sequence[str]) -> None:
@@ -81,7 +81,7 @@
         others = self._others()
         # One member reads the list for its whole zone; a member that knows no others reads it itself.
         if others and self.may_read_list is not None and not self.may_read_list(now):
-            list_reader.next_at = now + self.habits.sync
+            list_reader.next_at = now + self.intervals.sync
         elif list_reader.should_request(others, now):
             self.list_requested = True
 
--- a/limeridge/peers/gate.py
+++ b/limeridge/peers/gate.py
@@ -9,7 +9,7 @@
 from collections import deque
 from collections.abc import Callable
 
-TURNED_MOST = 64  # of one time: callers come back, and each of their tries is turned away anew
+MAX_REJECTED_DEMAND = 64  # of one time: callers come back, and each of their tries is turned away anew
 
 
 class Gate:
@@ -19,38 +19,38 @@
 
     def __init__(self, share: Callable[[], int | None], clock: Callable[[], int], linger: int) -> None:
         self.share, self.clock, self.linger = share, clock, linger
-        self.out = 0
+        self.active = 0
         self.lingering: deque[int] = deque()  # when each is over
-        self.turned_away = self.lapsed = 0
-        self.told = 0  # of those turned away, how many were told as need
+        self.rejected = self.lapsed = 0
+        self.reported = 0  # of those turned away, how many were told as need
 
-    def in_hand(self) -> int:
+    def in_flight(self) -> int:
         """Calls that may be at the records service now, those left behind there among them."""
         now = self.clock()
         while self.lingering and self.lingering[0] <= now:
             self.lingering.popleft()
-        return self.out + len(self.lingering)
+        return self.active + len(self.lingering)
 
-    def need(self) -> int:
+    def collect_demand(self) -> int:
         """Calls that could be used: those in hand, those turned away since this was last asked, and room to
         grow by a quarter, for who plans by the share it has turns nobody away."""
-        turned, self.told = self.turned_away - self.told, self.turned_away
-        wanted = self.in_hand() + min(turned, TURNED_MOST)
-        return wanted + max(1, wanted // 4)
+        newly_rejected, self.reported = self.rejected - self.reported, self.rejected
+        demand = self.in_flight() + min(newly_rejected, MAX_REJECTED_DEMAND)
+        return demand + max(1, demand // 4)
 
     def begin(self) -> bool:
         """Before a connection is opened; True counts the call."""
         share = self.share()
-        if share is not None and self.in_hand() + 1 > share:
-            self.turned_away += 1
+        if share is not None and self.in_flight() + 1 > share:
+            self.rejected += 1
             return False
-        self.out += 1
+        self.active += 1
         return True
 
     def still(self) -> bool:
         """Once the connection stands, right before the call is written: opening it took time."""
         share = self.share()
-        if share is not None and self.in_hand() > share:
+        if share is not None and self.in_flight() > share:
             self.lapsed += 1
             return False
         return True
@@ -58,6 +58,6 @@
     def end(self, left_behind: bool) -> None:
         """Counts a call out; `left_behind` where the records service may still work on it, for `linger`
         microseconds."""
-        self.out = max(0, self.out - 1)
+        self.active = max(0, self.active - 1)
         if left_behind:
             self.lingering.append(self.clock() + self.linger)
--- a/limeridge/peers/habits.py
+++ b/limeridge/peers/intervals.py
@@ -13,23 +13,27 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Habits:
+class Intervals:
     """Intervals of one member, in microseconds."""
 
-    pace: probing.ProbeSettings = field(default_factory=probing.ProbeSettings)
+    probe_settings: probing.ProbeSettings = field(default_factory=probing.ProbeSettings)
     sync: int = 10_000 * MS  # between two exchanges of whole tables
-    sync_soon: int = 1_000 * MS  # where a digest tells that tables differ
-    reach_out: int = 2_000 * MS  # between two tries to reach one who is held dead, or a seed
-    remember: int = 120_000 * MS  # that the gone are kept
+    min_sync_interval: int = 1_000 * MS  # where a digest tells that tables differ
+    reconnect: int = 2_000 * MS  # between two tries to reach one who is held dead, or a seed
+    retention: int = 120_000 * MS  # that the gone are kept
 
     @classmethod
-    def paced(
-        cls, interval: int, timeout: int = 0, helpers: int = 3, sync: int = 0, remember: int = 0
-    ) -> Habits:
+    def from_probe_interval(
+        cls, interval: int, timeout: int = 0, helpers: int = 3, sync: int = 0, retention: int = 0
+    ) -> Intervals:
         """The intervals that follow from a round of `interval` microseconds.
 
         `time_out`, `sync` and `remember` are microseconds too; 0 takes the default for that interval.
         """
-        late = max(interval // 2, 50 * MS)
-        pace = probing.ProbeSettings(interval, timeout or int(0.3 * interval), helpers, stall_threshold=late)
-        return cls(pace, sync or 10 * interval, interval, 2 * interval, remember or cls().remember)
+        stall_threshold = max(interval // 2, 50 * MS)
+        probe_settings = probing.ProbeSettings(
+            interval, timeout or int(0.3 * interval), helpers, stall_threshold=stall_threshold
+        )
+        return cls(
+            probe_settings, sync or 10 * interval, interval, 2 * interval, retention or cls().retention
+        )
--- a/limeridge/peers/join.py
+++ b/limeridge/peers/join.py
@@ -14,7 +14,7 @@
 from limeridge.settings.load import Unusable as BadFile
 
 
-def joining(path: str) -> Callable[[Setup, Any, Any], Link]:
+def member_factory(path: str) -> Callable[[Setup, Any, Any], Link]:
     """Reads the file of membership at `path`; what is returned makes the member of an instance. Raises
     Unusable where the file is at fault, and so does the call of what is returned where it does not fit
     the configuration."""
--- a/limeridge/peers/link.py
+++ b/limeridge/peers/link.py
@@ -267,7 +267,7 @@
             setup.name, peers.advertise or self.listen, int(unix() * 1e6), nonce, peers.zone, __version__
         )
         list_reader = NodeListReader(NodeListPolicy(), rng, clock()) if peers.from_list else None
-        self.peer = Peer(own, peers.seeds, peers.habits, terms, rng, clock(), linger, list_reader)
+        self.peer = Peer(own, peers.seeds, peers.intervals, terms, rng, clock(), linger, list_reader)
         self.listing = Listing(self) if peers.from_list else None
         self.gate = Gate(self.share, clock, linger)
         self.duty_delegate: DutyDelegate | None = None
@@ -289,7 +289,7 @@
             return linger, None
         most = max(int(plain.get(f"products.{number}.expiry", 0)) for number in range(len(setup.products)))
         longest = most + linger
-        if peers.longest_told and peers.terms.longest < longest:
+        if peers.longest_configured and peers.terms.longest < longest:
             raise Unusable(
                 f"peers: shares.longest_ms: expected {longest / MS:g} or more, the longest "
                 "deadline and what the ledger keeps after it"
@@ -312,7 +312,9 @@
         terms = self.peer.terms
         if told.allot and terms is not None:
             allot = AllotTerms(terms.surplus, told.allot, terms.longest, terms.drift)
-            allotting = Allotting(allot, duties, Taker(allot), lambda: max(0, self.gate.need() - terms.floor))
+            allotting = Allotting(
+                allot, duties, Taker(allot), lambda: max(0, self.gate.collect_demand() - terms.floor)
+            )
             self.peer.use_allotted_surplus(allotting.share)
         if told.list_read:
             self.peer.discovery.may_read_list = lambda at: duties.holder(name, at) in ("", own.name)
@@ -424,7 +426,7 @@
         answer = None
         try:
             self.peer.unix = int(self.unix() * 1e6)
-            answer = self.peer.heard(message, self.clock())
+            answer = self.peer.receive(message, self.clock())
         except Exception as trouble:  # a defect in what a member made of it: others' words still count
             self.log.fault("peers-fault", trouble)
         self._turn()
@@ -501,7 +503,7 @@
             return {"error": "this member has no duties" if self.duty_delegate is None else "expected a duty"}
         now = self.clock()
         trouble = self.duty_delegate.release(words[1], words[2] if len(words) == 3 else "", now)
-        self.peer.carry(self.duty_delegate.kind, now)
+        self.peer.flush(self.duty_delegate.kind, now)
         self._turn()
         return {"error": trouble} if trouble else {"done": words[1]}
 
@@ -540,7 +542,7 @@
             told["share"] = {
                 "calls": peer.share(now),
                 "why": peer.reason(now),
-                "in_hand": self.gate.in_hand(),
+                "in_hand": self.gate.in_flight(),
                 "floor": peer.terms.floor,
                 "limit": peer.terms.limit,
                 "epoch": peer.voter.view.epoch[0],
@@ -548,7 +550,7 @@
                 "voters": peer.holder.reachable_voters(now),
                 "quorum": peer.terms.quorum,
                 "silent": peer.voter.is_silent(now),
-                "turned_away": self.gate.turned_away,
+                "turned_away": self.gate.rejected,
                 "lapsed": self.gate.lapsed,
             }
         return told
--- a/limeridge/peers/members.py
+++ b/limeridge/peers/members.py
@@ -20,7 +20,7 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-from limeridge.peers.digest import digest_of
+from limeridge.peers.digest import claim_digest
 
 Address = tuple[str, int]  # host and port
 RETRANSMIT_FACTOR = 3  # times log2 of the table size: how often each claim is sent (SWIM, section 4.1)
@@ -123,7 +123,7 @@
         self.table[self.own.name] = self.own
         self.since[self.own.name] = 0
         self.news[self.own.name] = QueuedUpdate(self.own)
-        self._digest ^= digest_of(self.own)
+        self._digest ^= claim_digest(self.own)
 
     # ---- merging
 
@@ -180,10 +180,10 @@
     def _put(self, claim: Claim, now: int) -> None:
         old = self.table.get(claim.name)
         if old is not None:
-            self._digest ^= digest_of(old)
+            self._digest ^= claim_digest(old)
         if old is None or old.state is not claim.state or old.life != claim.life:
             self.since[claim.name] = now
-        self._digest ^= digest_of(claim)
+        self._digest ^= claim_digest(claim)
         self.table[claim.name] = claim
         self.news[claim.name] = QueuedUpdate(claim)
 
@@ -200,7 +200,7 @@
         for claim in expired:
             del self.table[claim.name], self.since[claim.name]
             self.news.pop(claim.name, None)
-            self._digest ^= digest_of(claim)
+            self._digest ^= claim_digest(claim)
         return expired
 
     # ---- reading
--- a/limeridge/peers/observer.py
+++ b/limeridge/peers/observer.py
@@ -24,28 +24,28 @@
         shares: ShareExchange | None,
         outbox: Outbox,
         now: int,
-        every: int,
+        interval: int,
     ) -> None:
         """`every`: microseconds between two looks."""
         self.members, self.detector, self.reachability = members, detector, reachability
         self.shares, self.outbox = shares, outbox
-        self.every, self.next_at = every, now
+        self.interval, self.next_at = interval, now
         self.grades: dict[str, Grade] = {}
         self.last_reason = ""
 
     def wake(self, now: int) -> None:
         """Looks where it is time to; with each call once this member leaves."""
         if now >= self.next_at or self.members.leaving:
-            self.next_at = now + self.every
-            self._look_at_members(now)
-            self._look_at_connectivity(now)
-            self._look_at_share(now)
+            self.next_at = now + self.interval
+            self._log_grade_changes(now)
+            self._log_connectivity_change(now)
+            self._log_share_change(now)
 
     def remove_member(self, name: str) -> None:
         """Drops what was logged of a member that is no longer in the table."""
         self.grades.pop(name, None)
 
-    def _look_at_members(self, now: int) -> None:
+    def _log_grade_changes(self, now: int) -> None:
         for claim in self.members.others(*State):
             grade, old = self.reachability.grade(claim, now), self.grades.get(claim.name)
             if grade is not old:
@@ -63,7 +63,7 @@
             incarnation=claim.incarnation,
         )
 
-    def _look_at_connectivity(self, now: int) -> None:
+    def _log_connectivity_change(self, now: int) -> None:
         old = self.reachability.connectivity
         new = self._connectivity(now)
         if new is not old:
@@ -76,7 +76,7 @@
             present, present + dead, self.detector.last_contact_at, now
         )
 
-    def _look_at_share(self, now: int) -> None:
+    def _log_share_change(self, now: int) -> None:
         if self.shares is None:
             return
         reason = self.shares.reason(now)
--- a/limeridge/peers/outbox.py
+++ b/limeridge/peers/outbox.py
@@ -11,7 +11,7 @@
 from limeridge.peers.members import Address, Claim
 from limeridge.peers.messages import Message
 
-EVENTS_MOST = 1_000  # kept until somebody takes them
+MAX_EVENTS = 1_000  # kept until somebody takes them
 
 
 @dataclass(slots=True, frozen=True)
@@ -53,7 +53,7 @@
 
     def log_all(self, events: Iterable[Event]) -> None:
         """Adds events; drops those beyond EVENTS_MOST."""
-        self.events.extend(list(events)[: max(0, EVENTS_MOST - len(self.events))])
+        self.events.extend(list(events)[: max(0, MAX_EVENTS - len(self.events))])
 
     def take_sends(self) -> list[Send]:
         """All messages that wait; they are no longer held here."""
--- a/limeridge/peers/peer.py
+++ b/limeridge/peers/peer.py
@@ -16,7 +16,7 @@
 from limeridge.peers.delegates import Delegate, Delegates
 from limeridge.peers.discovery import Discovery
 from limeridge.peers.dissemination import Dissemination
-from limeridge.peers.habits import Habits
+from limeridge.peers.intervals import Intervals
 from limeridge.peers.members import Address, Claim, Life, Members, State
 from limeridge.peers.messages import (
     Ack,
@@ -42,11 +42,11 @@
 from limeridge.peers.table_exchange import TableExchange
 from limeridge.peers.updates import Updates
 
-__all__ = ["Habits", "Peer", "own_claim"]
+__all__ = ["Intervals", "Peer", "own_claim"]
 
-FRESH_ROUNDS = 4  # that a sign of a member counts
-BACK_ROUNDS = 10  # that a member counts as back from being gone
-LOOKS = 4  # at grades and reasons, in a round
+FRESHNESS_ROUNDS = 4  # that a sign of a member counts
+RECOVERY_ROUNDS = 10  # that a member counts as back from being gone
+OBSERVATIONS_PER_ROUND = 4  # at grades and reasons, in a round
 NEVER = 1 << 62  # microseconds
 
 
@@ -57,7 +57,7 @@
         self,
         own: Claim,
         seeds: Sequence[Address],
-        habits: Habits,
+        intervals: Intervals,
         terms: Terms | None,
         rng: random.Random,
         now: int,
@@ -66,32 +66,34 @@
     ) -> None:
         """`terms`: of the limit that is shared out, None where there is none; `quiet`: microseconds from now
         in which no call may begin; `seeker`: where members are found by service discovery too."""
-        interval = habits.pace.interval
-        self.habits, self.terms, self.rng = habits, terms, rng
+        interval = intervals.probe_settings.interval
+        self.intervals, self.terms, self.rng = intervals, terms, rng
         self.unix = 0  # Unix time in microseconds, as whoever drives it last told, for the delegates
         self.outbox = Outbox()
         self.members = Members(own)
-        self.detector = Detector(self.members, rng, habits.pace, now)
+        self.detector = Detector(self.members, rng, intervals.probe_settings, now)
         self.reachability = Reachability(
-            FRESH_ROUNDS * interval, BACK_ROUNDS * interval, connectivity_since=now
+            FRESHNESS_ROUNDS * interval, RECOVERY_ROUNDS * interval, connectivity_since=now
         )
         self.voter = Voter(terms, now) if terms is not None else None
         members, detector, reachability, outbox = self.members, self.detector, self.reachability, self.outbox
         self.dissemination = Dissemination(members, detector, reachability)
         self.updates = Updates(members, detector, reachability, self.dissemination, outbox)
-        self.relays = Relays(members, self.dissemination, outbox, habits.pace.timeout)
+        self.relays = Relays(members, self.dissemination, outbox, intervals.probe_settings.timeout)
         self.prober = Prober(
             members, detector, reachability, self.dissemination, self.updates, self.relays, outbox
         )
-        self.tables = TableExchange(members, self.voter, habits, rng, outbox, now)
+        self.tables = TableExchange(members, self.voter, intervals, rng, outbox, now)
         self.discovery = Discovery(
-            members, seeds, list_reader, self.tables, self.dissemination, habits, rng, outbox, now
+            members, seeds, list_reader, self.tables, self.dissemination, intervals, rng, outbox, now
         )
         self.shares: ShareExchange | None = None
         if terms is not None and self.voter is not None:
             self.shares = ShareExchange(members, terms, self.voter, self.tables, outbox, now, startup_delay)
         self.delegates = Delegates(members, outbox)
-        self.observer = Observer(members, detector, reachability, self.shares, outbox, now, interval // LOOKS)
+        self.observer = Observer(
+            members, detector, reachability, self.shares, outbox, now, interval // OBSERVATIONS_PER_ROUND
+        )
 
     # ---- what is held
 
@@ -133,7 +135,7 @@
 
     def next_at(self) -> int:
         """When `wake` is to be called next, microseconds."""
-        times = self.relays.times()
+        times = self.relays.deadlines()
         if self.leaving:  # nothing more is asked
             return min(times, default=NEVER)
         times += [self.detector.next_at, self.tables.next_at, self.discovery.next_at()]
@@ -150,7 +152,7 @@
             self.discovery.wake(now)
             self.tables.wake(now)
         self.relays.expire(now)
-        for claim in self.members.remove_expired(now, self.habits.remember):
+        for claim in self.members.remove_expired(now, self.intervals.retention):
             self._remove_member(claim.name)
         self.delegates.wake(self.unix, now)
         self.observer.wake(now)
@@ -175,7 +177,7 @@
 
     # ---- what came
 
-    def heard(self, message: Message, now: int) -> Table | None:
+    def receive(self, message: Message, now: int) -> Table | None:
         """Takes a message; what is returned goes back over the stream that brought it."""
         sender = message.own
         self.reachability.contact(sender.name).last_received = now
@@ -183,18 +185,18 @@
             return None  # our own words, come back
         self.updates.merge(sender, now)
         if isinstance(message, Table):
-            return self._heard_table(message, now)
+            return self._receive_table(message, now)
         if isinstance(message, DelegateMessage):
-            self.delegates.heard(message, self.unix, now)
+            self.delegates.receive(message, self.unix, now)
         elif isinstance(message, Renew | Support | Offer):
-            self._heard_of_shares(message, now)
+            self._receive_share_message(message, now)
         else:
-            self._heard_probe(message, now)
+            self._receive_probe(message, now)
         return None
 
-    def _heard_probe(self, message: Ping | Ack | Nack | PingRequest, now: int) -> None:
+    def _receive_probe(self, message: Ping | Ack | Nack | PingRequest, now: int) -> None:
         if isinstance(message, Ping | Ack):
-            self._take_news(message, now)
+            self._apply_gossip(message, now)
         if isinstance(message, Ping):
             self.prober.send_ack(message)
         elif isinstance(message, Ack):
@@ -204,7 +206,7 @@
         else:
             self.relays.begin(message, now)
 
-    def _take_news(self, message: Ping | Ack, now: int) -> None:
+    def _apply_gossip(self, message: Ping | Ack, now: int) -> None:
         for claim in message.news:
             self.updates.merge(claim, now)
         for accusal in message.accusals:
@@ -213,7 +215,7 @@
         seen.misses, seen.misses_reported_at = frozenset(message.misses), now
         self.tables.compare_digest(message, now)
 
-    def _heard_of_shares(self, message: Renew | Support | Offer, now: int) -> None:
+    def _receive_share_message(self, message: Renew | Support | Offer, now: int) -> None:
         if self.shares is None:
             return
         if isinstance(message, Renew):
@@ -223,7 +225,7 @@
         else:
             self.shares.handle_view(View(message.epoch, frozenset(message.keys)))
 
-    def _heard_table(self, table: Table, now: int) -> Table | None:
+    def _receive_table(self, table: Table, now: int) -> Table | None:
         self.detector.last_contact_at = now
         for claim in table.claims:
             self.updates.merge(claim, now)
@@ -238,12 +240,12 @@
         """Carries `delegate` from now on."""
         self.delegates.attach(delegate, now)
 
-    def carry(self, kind: str, now: int) -> None:
+    def flush(self, kind: str, now: int) -> None:
         """Sends what the delegate of that kind has to say after something was asked of it from outside.
 
         Raises KeyError where there is no such delegate.
         """
-        self.delegates.carry(kind, now)
+        self.delegates.flush(kind, now)
 
     # ---- shares
 
--- a/limeridge/peers/prober.py
+++ b/limeridge/peers/prober.py
@@ -81,8 +81,8 @@
     def _probe(self, probe: probing.Probe, now: int) -> None:
         target = probe.target
         if probe.helper is not None:
-            ask = PingRequest(probe.seq, self.members.own, target.name, target.host, target.port)
-            self.outbox.send(probe.helper, ask)
+            request = PingRequest(probe.seq, self.members.own, target.name, target.host, target.port)
+            self.outbox.send(probe.helper, request)
             return
         self.outbox.send(target, self.dissemination.build_ping(target, probe.seq))
         if self.detector.round is not None and self.detector.round.indirect_probes_sent:
--- a/limeridge/peers/setup.py
+++ b/limeridge/peers/setup.py
@@ -13,7 +13,7 @@
 from limeridge.duty.ballots import Terms as DutyTerms
 from limeridge.duty.electorate import Electorate
 from limeridge.duty.seek import Waits
-from limeridge.peers.habits import Habits
+from limeridge.peers.intervals import Intervals
 from limeridge.peers.members import Address
 from limeridge.peers.messages import derive_key
 from limeridge.peers.shares import Terms
@@ -21,10 +21,10 @@
 from limeridge.settings.load import Checked, load
 
 MS = 1_000
-KEY_LEAST = 16  # bytes
-TEXT_MOST = 32  # of a zone's name: it goes with each claim
-NAME_MOST = 64
-SOCKET_MOST = 100  # bytes of a Unix socket's path
+MIN_KEY_BYTES = 16  # bytes
+MAX_ZONE_LENGTH = 32  # of a zone's name: it goes with each claim
+MAX_NAME_LENGTH = 64
+MAX_SOCKET_PATH_BYTES = 100  # bytes of a Unix socket's path
 
 
 @dataclass(slots=True, frozen=True)
@@ -48,10 +48,10 @@
     seeds: tuple[Address, ...]
     show: str
     key: bytes
-    habits: Habits
+    intervals: Intervals
     terms: Terms | None
     linger: int  # -1 where the configuration tells it
-    longest_told: bool
+    longest_configured: bool
     from_list: bool = False  # members are also found by service discovery
     duties: DutySetup | None = None
 
@@ -64,22 +64,22 @@
 
 def check(message: pb.Peers, checked: Checked) -> None:
     """Raises Unusable, with line and field, where the file of membership is at fault."""
-    if not message.fleet or len(message.fleet) > NAME_MOST:
-        raise checked.refuse("fleet", f"expected a name of 1 to {NAME_MOST} characters")
+    if not message.fleet or len(message.fleet) > MAX_NAME_LENGTH:
+        raise checked.refuse("fleet", f"expected a name of 1 to {MAX_NAME_LENGTH} characters")
     _check_key(message, checked)
-    host, _ = _address(message.listen, "listen", checked, any_host=True)
+    host, _ = _check_address(message.listen, "listen", checked, any_host=True)
     if not message.listen:
         raise checked.refuse("listen", "expected host:port, or :port")
     if message.advertise:
-        _address(message.advertise, "advertise", checked)
+        _check_address(message.advertise, "advertise", checked)
     elif host in ("0.0.0.0", "::"):
         raise checked.refuse("listen", "expected `advertise` beside an address that nobody can be sent to")
     for number, seed in enumerate(message.seed):
-        _address(seed, f"seed[{number}]", checked)
-    if len(message.zone) > TEXT_MOST:
-        raise checked.refuse("zone", f"expected {TEXT_MOST} characters at most")
-    if len(message.show.encode()) > SOCKET_MOST:
-        raise checked.refuse("show", f"expected a path of {SOCKET_MOST} bytes at most")
+        _check_address(seed, f"seed[{number}]", checked)
+    if len(message.zone) > MAX_ZONE_LENGTH:
+        raise checked.refuse("zone", f"expected {MAX_ZONE_LENGTH} characters at most")
+    if len(message.show.encode()) > MAX_SOCKET_PATH_BYTES:
+        raise checked.refuse("show", f"expected a path of {MAX_SOCKET_PATH_BYTES} bytes at most")
     interval = message.interval_ms or 1_000
     checked.number("interval_ms", interval, 20, 60_000, "milliseconds")
     timeout = message.time_out_ms or 0.3 * interval
@@ -97,14 +97,14 @@
     duties = message.duties
     for place, names in (("voter", duties.voter), ("before", duties.before)):
         for number, name in enumerate(names):
-            if not name or len(name) > NAME_MOST:
+            if not name or len(name) > MAX_NAME_LENGTH:
                 raise checked.refuse(
-                    f"duties.{place}[{number}]", f"expected a name of 1 to {NAME_MOST} characters"
+                    f"duties.{place}[{number}]", f"expected a name of 1 to {MAX_NAME_LENGTH} characters"
                 )
     checked.number("duties.version", duties.version, 1, 1_000_000, "a version")
-    if wrong := _electorate(duties).faults():
-        place = "before" if "change" in wrong or "before" in wrong else "voter"
-        raise checked.refuse(f"duties.{place}", wrong)
+    if fault := _electorate(duties).faults():
+        place = "before" if "change" in fault or "before" in fault else "voter"
+        raise checked.refuse(f"duties.{place}", fault)
     lease = duties.lease_ms or 3_000
     checked.number("duties.lease_ms", lease, 100, 600_000, "milliseconds")
     checked.number("duties.drift", duties.drift if duties.HasField("drift") else 0.001, 0, 0.2, "a share")
@@ -127,11 +127,11 @@
     try:
         path = Path(message.key_file)
         mode, size = path.stat().st_mode, len(path.read_bytes().strip())
-    except OSError as trouble:
-        told = f"expected a file that can be read, got {trouble.strerror}"
-        raise checked.refuse("key_file", told) from None
-    if size < KEY_LEAST:
-        raise checked.refuse("key_file", f"expected {KEY_LEAST} bytes or more in it, got {size}")
+    except OSError as error:
+        reason = f"expected a file that can be read, got {error.strerror}"
+        raise checked.refuse("key_file", reason) from None
+    if size < MIN_KEY_BYTES:
+        raise checked.refuse("key_file", f"expected {MIN_KEY_BYTES} bytes or more in it, got {size}")
     if mode & (stat.S_IRWXO | stat.S_IWGRP):
         raise checked.refuse("key_file", f"expected no way in for others, its mode is {stat.S_IMODE(mode):o}")
 
@@ -141,13 +141,13 @@
     checked.number("shares.capacity", shares.capacity, 1, 100_000, "processes")
     for number, name in enumerate(shares.voter):
         place = f"shares.voter[{number}]"
-        if not name or len(name) > NAME_MOST:
-            raise checked.refuse(place, f"expected a name of 1 to {NAME_MOST} characters")
+        if not name or len(name) > MAX_NAME_LENGTH:
+            raise checked.refuse(place, f"expected a name of 1 to {MAX_NAME_LENGTH} characters")
         if name in shares.voter[:number]:
             raise checked.refuse(place, f"expected each name once, {name} stands there twice")
     if len(shares.voter) > shares.capacity:
         raise checked.refuse("shares.voter", f"expected {shares.capacity} at most, as there are processes")
-    terms = _terms(shares)
+    terms = _share_terms(shares)
     voters = len(shares.voter) or shares.capacity
     if terms.quorum > voters:
         raise checked.refuse("shares.doubles", f"expected less: {terms.quorum} of {voters} voters are needed")
@@ -162,8 +162,8 @@
         raise checked.refuse("shares.limit", "expected a call or more to share out")
 
 
-def _address(given: str, path: str, checked: Checked, any_host: bool = False) -> Address:
-    host, _, port = given.rpartition(":")
+def _check_address(text: str, path: str, checked: Checked, any_host: bool = False) -> Address:
+    host, _, port = text.rpartition(":")
     host = host.strip("[]")
     try:
         if host or not any_host:
@@ -175,12 +175,12 @@
     return host, int(port)
 
 
-def _plain(given: str) -> Address:
-    host, _, port = given.rpartition(":")
+def _parse_address(text: str) -> Address:
+    host, _, port = text.rpartition(":")
     return host.strip("[]"), int(port)
 
 
-def _terms(shares: pb.Shares) -> Terms:
+def _share_terms(shares: pb.Shares) -> Terms:
     return Terms(
         limit=shares.limit,
         capacity=shares.capacity,
@@ -198,7 +198,7 @@
     """The settings that a file, checked already, comes to; absent fields get their defaults. Raises OSError
     where the key file has gone since."""
     interval = int((message.interval_ms or 1_000) * MS)
-    habits = Habits.paced(
+    intervals = Intervals.from_probe_interval(
         interval,
         int(message.time_out_ms * MS),
         message.helpers or 3,
@@ -207,22 +207,22 @@
     )
     shares = message.shares if message.HasField("shares") else None
     return PeerSetup(
-        _plain(message.listen),
-        _plain(message.advertise) if message.advertise else None,
+        _parse_address(message.listen),
+        _parse_address(message.advertise) if message.advertise else None,
         message.zone,
-        tuple(map(_plain, message.seed)),
+        tuple(map(_parse_address, message.seed)),
         message.show,
         derive_key(message.fleet, Path(message.key_file).read_bytes().strip()),
-        habits,
-        _terms(shares) if shares is not None else None,
+        intervals,
+        _share_terms(shares) if shares is not None else None,
         int(shares.linger_ms * MS) if shares is not None and shares.linger_ms else -1,
         shares is not None and shares.longest_ms > 0,
         message.from_list,
-        _duties(message.duties) if message.HasField("duties") else None,
+        _duty_setup(message.duties) if message.HasField("duties") else None,
     )
 
 
-def _duties(duties: pb.Duties) -> DutySetup:
+def _duty_setup(duties: pb.Duties) -> DutySetup:
     lease = int((duties.lease_ms or 3_000) * MS)
     drift = duties.drift if duties.HasField("drift") else 0.001
     step = int((duties.step_ms or 200) * MS)
--- a/limeridge/peers/shares.py
+++ b/limeridge/peers/shares.py
@@ -36,7 +36,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from limeridge.peers.digest import score_of
+from limeridge.peers.digest import rendezvous_score
 from limeridge.peers.members import Claim
 
 Epoch = tuple[int, str, int]  # counter, name and nonce of the process that made it
@@ -104,7 +104,7 @@
         """The `remainder` lives that are allocated one call more than the others."""
         if self._remainder_keys is None or len(self._remainder_keys) != remainder:
             purpose = f"{self.epoch[0]}"
-            first = sorted(self.keys, key=lambda key: (score_of(key, purpose), key))[:remainder]
+            first = sorted(self.keys, key=lambda key: (rendezvous_score(key, purpose), key))[:remainder]
             object.__setattr__(self, "_remainder_keys", frozenset(first))
         return self._remainder_keys or frozenset()
 
@@ -253,7 +253,9 @@
         """Whether this voter proposes views, by rendezvous hashing among the voters present. If members
         disagree, two voters may propose at the same time, which only uses up an epoch."""
         voters = [claim.name for claim in claims if self.terms.votes(claim.name)]
-        return bool(voters) and max(voters, key=lambda name: (score_of(name, "views"), name)) == self.own
+        return (
+            bool(voters) and max(voters, key=lambda name: (rendezvous_score(name, "views"), name)) == self.own
+        )
 
     def _settle_time(self, joining: frozenset[str], now: int) -> int:
         """How long the set of members must be stable. The time doubles with each recent departure of a
--- a/limeridge/peers/table_exchange.py
+++ b/limeridge/peers/table_exchange.py
@@ -8,7 +8,7 @@
 
 import random
 
-from limeridge.peers.habits import Habits
+from limeridge.peers.intervals import Intervals
 from limeridge.peers.members import Address, Claim, Members, State
 from limeridge.peers.messages import Ack, Ping, Table
 from limeridge.peers.outbox import Outbox
@@ -24,13 +24,13 @@
         self,
         members: Members,
         voter: Voter | None,
-        habits: Habits,
+        intervals: Intervals,
         rng: random.Random,
         outbox: Outbox,
         now: int,
     ) -> None:
         """The view of `voter` is sent along with the table; None if the limit is not shared out."""
-        self.members, self.voter, self.habits = members, voter, habits
+        self.members, self.voter, self.intervals = members, voter, intervals
         self.rng, self.outbox = rng, outbox
         self.next_at = now
         self.in_sync: set[str] = set()  # members whose last digest equalled ours
@@ -40,7 +40,7 @@
         """Exchanges tables with a random member if it is time. Call it at `next_at` or soon after."""
         if now < self.next_at:
             return
-        self.next_at = now + int(self.habits.sync * self.rng.uniform(*SYNC_JITTER))
+        self.next_at = now + int(self.intervals.sync * self.rng.uniform(*SYNC_JITTER))
         others = sorted(self.members.others(State.ALIVE), key=lambda claim: claim.name)
         if others:
             self.exchange_with(self.rng.choice(others).address)
@@ -71,7 +71,7 @@
         self.in_sync.discard(name)
         # While updates are queued, gossip may still reconcile the tables.
         if not self.members.news and not self.members.leaving:
-            self.request_table(message.own, now, self.habits.sync_soon)
+            self.request_table(message.own, now, self.intervals.min_sync_interval)
 
     def count_in_sync(self) -> int:
         """Number of other present members whose last digest equalled ours."""
--- a/limeridge/scale/instance_rows.py
+++ b/limeridge/scale/instance_rows.py
@@ -8,7 +8,7 @@
 
 from limeridge.facade import RESULTS_KEPT
 from limeridge.net.nodelist import EVERY as REPORT_EVERY
-from limeridge.peers.habits import Habits
+from limeridge.peers.intervals import Intervals
 from limeridge.peers.messages import MAX_STREAM_BYTES
 from limeridge.scale import assumptions as take
 from limeridge.scale.configured import Configured, both, current
@@ -270,7 +270,7 @@
         Part.CONTROL,
         "its whole table of members",
         "one member, and back",
-        each_interval(microseconds(Habits().sync)),
+        each_interval(microseconds(Intervals().sync)),
         largest,
         MEMBERSHIP_MODULES,
     )
--- a/limeridge/scale/layout.py
+++ b/limeridge/scale/layout.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from limeridge.duty.allotting import DUTY as ALLOT
-from limeridge.peers.digest import score_of
+from limeridge.peers.digest import rendezvous_score
 from limeridge.scale.results import Role
 
 PEER_PORT, LIST_PORT = 7950, 7946
@@ -87,7 +87,7 @@
 
     def _first(self, numbers: Iterable[int], duty: str) -> int:
         """By the ranking with which members ask for a duty."""
-        return max(numbers, key=lambda number: score_of(self.name(number), f"duty {duty}"))
+        return max(numbers, key=lambda number: rendezvous_score(self.name(number), f"duty {duty}"))
 
     def readers(self) -> list[int]:
         """Those that are to read the list for their zones."""
--- a/limeridge/sim/gossip.py
+++ b/limeridge/sim/gossip.py
@@ -18,7 +18,7 @@
 from functools import partial
 from itertools import count
 
-from limeridge.peers.habits import Habits
+from limeridge.peers.intervals import Intervals
 from limeridge.peers.members import Address, State
 from limeridge.peers.messages import (
     MAX_DATAGRAM_BYTES,
@@ -82,7 +82,7 @@
     seed: int
     members: int
     terms: Terms
-    habits: Habits
+    habits: Intervals
     loss: float
     quiet: int  # all heals
     end: int
@@ -95,7 +95,7 @@
     def detect(self) -> int:
         """Within which a death is known to all where no link is cut and nobody is slow: the longest
         suspicion, of one whom nobody else accuses, and twenty rounds."""
-        pace = self.habits.pace
+        pace = self.habits.probe_settings
         rounds = (
             pace.suspicion_max_multiplier * pace.suspicion_multiplier * max(1.0, math.log10(self.members))
             + 20
@@ -187,7 +187,7 @@
             except InvalidMessageError:
                 return
             self.peer.unix = self.unix()
-            answer = self.peer.heard(message, self.clock())
+            answer = self.peer.receive(message, self.clock())
             if answer is not None and back is not None:
                 back(answer)
 
@@ -637,12 +637,12 @@
 
 # ---- drawing
 
-QUICK = Habits(
+QUICK = Intervals(
     ProbeSettings(interval=300 * MS, timeout=100 * MS, stall_threshold=250 * MS),
     sync=3_000 * MS,
-    sync_soon=400 * MS,
-    reach_out=600 * MS,
-    remember=600_000 * MS,
+    min_sync_interval=400 * MS,
+    reconnect=600 * MS,
+    retention=600_000 * MS,
 )
 
 
--- a/limeridge/sim/mutants.py
+++ b/limeridge/sim/mutants.py
@@ -618,8 +618,8 @@
     _m(
         "nobody-offers",
         SHARES,
-        "return bool(voters) and max(voters",
-        "return bool(voters) and min(voters, key=len) != self.own and max(voters",
+        "bool(voters) and max(voters",
+        "bool(voters) and min(voters, key=len) != self.own and max(voters",
         "some fleets never get a new view",
     ),
     _m(
@@ -718,8 +718,8 @@
     _m(
         "gate-off-by-one",
         GATE,
-        "if share is not None and self.in_hand() + 1 > share:",
-        "if share is not None and self.in_hand() > share:",
+        "if share is not None and self.in_flight() + 1 > share:",
+        "if share is not None and self.in_flight() > share:",
         "one call more than the share",
     ),
     _m(
@@ -732,9 +732,9 @@
     _m(
         "gate-share-kept",
         GATE,
-        "        share = self.share()\n        if share is not None and self.in_hand() + 1 > share:",
+        "        share = self.share()\n        if share is not None and self.in_flight() + 1 > share:",
         "        share = self.kept = max(getattr(self, 'kept', 0), self.share() or 0)\n"
-        "        if share is not None and self.in_hand() + 1 > share:",
+        "        if share is not None and self.in_flight() + 1 > share:",
         "a share once had is kept",
     ),
     _m(
--- a/limeridge/sim/size.py
+++ b/limeridge/sim/size.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from limeridge.peers.habits import Habits
+from limeridge.peers.intervals import Intervals
 from limeridge.peers.members import State
 from limeridge.peers.shares import Terms
 from limeridge.sim.gossip import MS, SECOND, Fleet, Setting
@@ -38,7 +38,7 @@
 
 def gossip(members: int, loss: float, seed: int = 1, wait: int = 60 * SECOND) -> Size:
     terms = Terms(limit=members * 4, capacity=members, voters=tuple(f"n{n}" for n in range(min(5, members))))
-    setting = Setting(seed, members, terms, Habits(), loss, 0, 0, load=False, watched=False)
+    setting = Setting(seed, members, terms, Intervals(), loss, 0, 0, load=False, watched=False)
     fleet, size = Fleet(setting), Size("gossip", members, loss)
     chance = random.Random(f"size {seed}")
     for number in range(members):
--- a/limeridge/sim/world.py
+++ b/limeridge/sim/world.py
@@ -189,7 +189,7 @@
         """The part of membership, on the clock of this machine."""
         from limeridge.peers.link import Link
         from limeridge.peers.messages import derive_key
-        from limeridge.peers.peer import Habits
+        from limeridge.peers.peer import Intervals
         from limeridge.peers.setup import PeerSetup
         from limeridge.peers.shares import Terms
 
@@ -212,7 +212,7 @@
             tuple((instance_ip(number), PEER_PORT) for number in range(min(3, plan.instances))),
             "",
             derive_key("sim", b"sim"),
-            Habits.paced(fleet.interval),
+            Intervals.from_probe_interval(fleet.interval),
             terms,
             fleet.linger,
             True,
--- a/limeridge/trial/virtual.py
+++ b/limeridge/trial/virtual.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from limeridge.peers.habits import Habits
+from limeridge.peers.intervals import Intervals
 from limeridge.peers.members import State
 from limeridge.sim.gossip import Fleet, Process, Setting, Trouble
 from limeridge.trial import judge
@@ -40,7 +40,7 @@
 
 def setting_of(trial: Trial) -> Setting:
     """The trial as a setting of virtual members; the faults that they cannot have are left out."""
-    habits = Habits.paced(trial.interval)
+    habits = Intervals.from_probe_interval(trial.interval)
     troubles = tuple(
         Trouble(
             KINDS[act.kind],
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -149,11 +149,11 @@
     assert line.transport.sent().startswith(b"POST")
     calls[0].abandon()
     net.lose(line)
-    assert (gate.in_hand(), ledger.connections) == (1, 0), "left behind: the ledger may still work on it"
+    assert (gate.in_flight(), ledger.connections) == (1, 0), "left behind: the ledger may still work on it"
     assert (call(), told[-1])[1] is End.FULL
     net.pass_time(0.2)
     call()
-    assert (gate.in_hand(), ledger.connections) == (1, 1)
+    assert (gate.in_flight(), ledger.connections) == (1, 1)
 
 
 def test_members_are_started_told_of_the_drain_and_stopped_and_their_share_reaches_the_brain() -> None:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -14,7 +14,7 @@
 from limeridge.peers import probing
 from limeridge.peers.discovery import Discovery
 from limeridge.peers.gate import Gate
-from limeridge.peers.habits import Habits
+from limeridge.peers.intervals import Intervals
 from limeridge.peers.members import Claim, Life, Members, State
 from limeridge.peers.messages import (
     MAX_DATAGRAM_BYTES,
@@ -128,12 +128,12 @@
 
 
 def _digest(members: Members) -> int:
-    from limeridge.peers.digest import digest_of
+    from limeridge.peers.digest import claim_digest
 
     digest = 0
     for claim in members.table.values():
         if claim.name != "own":
-            digest ^= digest_of(claim)
+            digest ^= claim_digest(claim)
     return digest
 
 
@@ -399,10 +399,10 @@
     assert not gate.still(), "the share lapsed while the connection was being opened"
     gate.end(left_behind=True)
     gate.end(left_behind=False)
-    assert (gate.in_hand(), gate.begin()) == (1, False)
+    assert (gate.in_flight(), gate.begin()) == (1, False)
     now[0] = 100
     assert gate.begin()
-    assert (gate.turned_away, gate.lapsed) == (2, 1)
+    assert (gate.rejected, gate.lapsed) == (2, 1)
 
 
 # ---- messages
@@ -444,7 +444,7 @@
         "z" * 32,
         "9" * 16,
     )
-    peer = Peer(own, [], Habits(), Terms(limit=100, capacity=1_000), random.Random(1), 0)
+    peer = Peer(own, [], Intervals(), Terms(limit=100, capacity=1_000), random.Random(1), 0)
     for number in range(1_000):
         peer.updates.merge(
             replace(own, name=f"{number:064}", state=State.SUSPECT if number % 3 else State.ALIVE), 0
@@ -453,7 +453,7 @@
     largest = 0
     for now in range(0, 60 * SECOND, 100 * MS):
         peer.wake(now)
-        peer.heard(Ping(now, replace(own, name="b" * 64), own.name, 5), now)
+        peer.receive(Ping(now, replace(own, name="b" * 64), own.name, 5), now)
         for send in peer.out:
             if not send.stream:
                 largest = max(largest, len(encode(send.message, key)))
@@ -474,7 +474,7 @@
     )
 )
 def test_a_member_raises_on_nothing_that_another_may_send(history: list[Any]) -> None:
-    peer = Peer(OWN, [("10.0.0.9", 1)], Habits(), Terms(limit=9, capacity=3), random.Random(1), 0)
+    peer = Peer(OWN, [("10.0.0.9", 1)], Intervals(), Terms(limit=9, capacity=3), random.Random(1), 0)
     now = 0
     for what, sender, news, later in history:
         now += later
@@ -483,11 +483,11 @@
         elif what == "leave":
             peer.leave(now)
         elif what == "ping":
-            peer.heard(Ping(now, sender, "own", 0, tuple(news)), now)
+            peer.receive(Ping(now, sender, "own", 0, tuple(news)), now)
         elif what == "ack":
-            peer.heard(Ack(1, sender, "a", 0, tuple(news)), now)
+            peer.receive(Ack(1, sender, "a", 0, tuple(news)), now)
         else:
-            peer.heard(Table(sender, tuple(news), ((now, "a", 1), ("a/1",)), True), now)
+            peer.receive(Table(sender, tuple(news), ((now, "a", 1), ("a/1",)), True), now)
         assert peer.next_at() >= 0
         assert peer.share(now) is not None
 
