--- a/limeridge/peers/delegates.py
+++ b/limeridge/peers/delegates.py
@@ -1,6 +1,7 @@
-"""Delegates: other parts that members carry. They hear who is there, and their words go along with ours.
+"""Delegates: other components that use the membership, as in memberlist. They learn which members are present
+and exchange messages over the members' sockets.
 
-It owns when each of them is woken, and the bound of what it may send. It must never read a delegate's words.
+This module schedules the delegates and bounds the size of their messages. It does not interpret the contents.
 """
 
 from __future__ import annotations
@@ -16,26 +17,25 @@
 )
 from limeridge.peers.outbox import Event, Outbox
 
-MAX_BODY_BYTES = (
-    MAX_DATAGRAM_BYTES - MESSAGE_OVERHEAD_BYTES - CLAIM_FIXED_BYTES - 200
-)  # bytes of a delegate's body
+MAX_BODY_BYTES = MAX_DATAGRAM_BYTES - MESSAGE_OVERHEAD_BYTES - CLAIM_FIXED_BYTES - 200  # of a delegate
 
 
 class Delegate(Protocol):
-    """A part that members carry. `unix` is Unix time, all other times are ours, microseconds."""
+    """A component that uses the membership. `unix` is Unix time, all other times are of the member's
+    monotonic clock; both are in microseconds."""
 
     kind: str
-    out: list[tuple[str, bytes]]  # to a member's name, or to all where it is empty
+    out: list[tuple[str, bytes]]  # recipient (a member's name, or empty for all) and body
     events: list[Event]
 
     def next_at(self, now: int) -> int:
-        """When it is to be woken next."""
+        """When `wake` is due next."""
 
     def wake(self, present: tuple[str, ...], unix: int, now: int) -> None:
-        """Called at `next_at` or soon after; `present` are the names of those held to be there."""
+        """Called at `next_at` or soon after; `present` are the names of all present members."""
 
     def receive(self, sender: Claim, body: bytes, unix: int, now: int) -> None:
-        """Called with what the same part of another member sent."""
+        """Called with a message from the delegate of the same kind at another member."""
 
     def leave(self, now: int) -> None:
         """Called once, before this member leaves."""
@@ -50,30 +50,30 @@
         self.wake_at: dict[str, int] = {}
 
     def attach(self, delegate: Delegate, now: int) -> None:
-        """Carries `delegate` from now on; it is woken at once."""
+        """Adds a delegate; it is woken at once."""
         self.by_kind[delegate.kind] = delegate
         self.wake_at[delegate.kind] = now
 
     def flush(self, kind: str, now: int) -> None:
-        """After something was asked of a delegate from outside."""
+        """Sends and logs what a delegate has queued, after it was called from outside."""
         self._flush(self.by_kind[kind], now)
 
     def wake(self, unix: int, now: int) -> None:
-        """Wakes those whose time has come."""
+        """Wakes the delegates that are due."""
         for kind, at in self.wake_at.items():
             if now >= at:
                 self.by_kind[kind].wake(self._names(), unix, now)
                 self._flush(self.by_kind[kind], now)
 
     def receive(self, message: DelegateMessage, unix: int, now: int) -> None:
-        """Passes a word on to the delegate that it is for, if there is such a delegate."""
+        """Passes a message to the delegate of its kind, if there is one."""
         delegate = self.by_kind.get(message.kind)
         if delegate is not None and not self.members.leaving:
             delegate.receive(message.own, message.body, unix, now)
             self._flush(delegate, now)
 
     def leave(self, now: int) -> None:
-        """Lets each say its last words; none is woken again."""
+        """Lets each delegate send its last messages; none is woken again."""
         for delegate in self.by_kind.values():
             delegate.leave(now)
             self._flush(delegate, now)
@@ -83,7 +83,7 @@
         return tuple(sorted(claim.name for claim in self.members.present()))
 
     def _flush(self, delegate: Delegate, now: int) -> None:
-        """Its words to whom they are for, its events to the log."""
+        """Moves a delegate's messages and events to the outbox and reschedules it."""
         out, delegate.out = delegate.out, []
         for name, body in out:
             if len(body) <= MAX_BODY_BYTES:
@@ -94,7 +94,7 @@
             self.wake_at[delegate.kind] = delegate.next_at(now)
 
     def _send(self, name: str, message: DelegateMessage) -> None:
-        """To one member, or to all where `name` is empty."""
+        """Sends to one member, or to all if `name` is empty."""
         for claim in self.members.others(State.ALIVE, State.SUSPECT):
             if not name or claim.name == name:
                 self.outbox.send(claim, message)
--- a/limeridge/peers/digest.py
+++ b/limeridge/peers/digest.py
@@ -1,7 +1,6 @@
-"""Digests of claims and of sets of names, the same in every process.
+"""Digests of claims and rendezvous hashing scores, which are the same in every process.
 
-It owns the bytes that go into a digest. It must never use Python's own hashes, which differ from one
-process to the next.
+Python's built-in hashes must not be used for these, because they are salted per process.
 """
 
 from __future__ import annotations
@@ -11,7 +10,7 @@
 
 
 class ClaimLike(Protocol):
-    """What a digest is made of."""
+    """The attributes that a digest covers."""
 
     @property
     def name(self) -> str:
@@ -19,20 +18,21 @@
 
     @property
     def incarnation(self) -> int:
-        """The number that the member itself raises."""
+        """The number that only the member itself increments."""
 
     @property
     def rank(self) -> tuple[object, int, int]:
-        """Its place in the order of claims under the same name."""
+        """Sort key of claims about the same name."""
 
 
 def claim_digest(claim: ClaimLike) -> int:
-    """64 bits; the digest of a table is the exclusive or of its claims', so that a change costs one of
-    them."""
+    """64-bit digest of a claim. The digest of a table is the XOR of those of its claims, so that it can be
+    updated incrementally."""
     text = f"{claim.name}\0{claim.rank}".encode()
     return int.from_bytes(blake2b(text, digest_size=8).digest(), "big")
 
 
 def rendezvous_score(name: str, purpose: str) -> int:
-    """64 bits for rendezvous hashing (Thaler, Ravishankar 1998): the highest score has the purpose."""
+    """64-bit score for rendezvous hashing (Thaler, Ravishankar 1998): the name with the highest score is
+    chosen for the purpose."""
     return int.from_bytes(blake2b(f"{purpose}\0{name}".encode(), digest_size=8).digest(), "big")
--- a/limeridge/peers/gate.py
+++ b/limeridge/peers/gate.py
@@ -1,7 +1,7 @@
-"""The last look before a call goes out: whether the share that holds now has room for it.
+"""Admission control for calls to the records service: checks each call against the share at that moment.
 
-It owns the count of calls that may be at the records service, those left behind there among them. It must
-never keep a share: it asks for it anew each time, since the process may have stood still since it last did.
+This module counts the calls that may be in progress at the records service, including abandoned ones. It must
+not cache the share, because the process may have been suspended since the share was last computed.
 """
 
 from __future__ import annotations
@@ -9,37 +9,41 @@
 from collections import deque
 from collections.abc import Callable
 
-MAX_REJECTED_DEMAND = 64  # of one time: callers come back, and each of their tries is turned away anew
+# Bounds the rejected calls that count as demand per report: the same call may be retried and rejected often.
+MAX_REJECTED_DEMAND = 64
 
 
 class Gate:
-    """`share` gives the calls in hand allowed now, or None for any number; `clock` is in microseconds and
-    runs on while the process stands still; `linger` is how long the records service keeps a call that its
-    caller left."""
+    """Counts calls against a concurrency limit.
+
+    `share` returns the number of concurrent calls allowed now, or None for no limit. `clock` is in
+    microseconds and advances while the process is suspended. `linger` is how long the records service goes on
+    with an abandoned call, in microseconds.
+    """
 
     def __init__(self, share: Callable[[], int | None], clock: Callable[[], int], linger: int) -> None:
         self.share, self.clock, self.linger = share, clock, linger
         self.active = 0
-        self.lingering: deque[int] = deque()  # when each is over
+        self.lingering: deque[int] = deque()  # when each abandoned call ends
         self.rejected = self.lapsed = 0
-        self.reported = 0  # of those turned away, how many were told as need
+        self.reported = 0  # rejected calls that have been reported as demand
 
     def in_flight(self) -> int:
-        """Calls that may be at the records service now, those left behind there among them."""
+        """Calls that may be in progress at the records service now, including abandoned ones."""
         now = self.clock()
         while self.lingering and self.lingering[0] <= now:
             self.lingering.popleft()
         return self.active + len(self.lingering)
 
     def collect_demand(self) -> int:
-        """Calls that could be used: those in hand, those turned away since this was last asked, and room to
-        grow by a quarter, for who plans by the share it has turns nobody away."""
+        """Calls that this instance could use: those in flight, those rejected since the last call of this
+        method, and headroom of a quarter, since an instance that plans within its share rejects nothing."""
         newly_rejected, self.reported = self.rejected - self.reported, self.rejected
         demand = self.in_flight() + min(newly_rejected, MAX_REJECTED_DEMAND)
         return demand + max(1, demand // 4)
 
     def begin(self) -> bool:
-        """Before a connection is opened; True counts the call."""
+        """Admits a call before its connection is opened; returns False if the share is used up."""
         share = self.share()
         if share is not None and self.in_flight() + 1 > share:
             self.rejected += 1
@@ -48,7 +52,8 @@
         return True
 
     def still(self) -> bool:
-        """Once the connection stands, right before the call is written: opening it took time."""
+        """Checks the share again once the connection is open, just before the call is written, because the
+        share may have lapsed meanwhile."""
         share = self.share()
         if share is not None and self.in_flight() > share:
             self.lapsed += 1
@@ -56,8 +61,8 @@
         return True
 
     def end(self, left_behind: bool) -> None:
-        """Counts a call out; `left_behind` where the records service may still work on it, for `linger`
-        microseconds."""
+        """Ends a call. With `left_behind`, the records service may still be working on it, and it counts for
+        another `linger` microseconds."""
         self.active = max(0, self.active - 1)
         if left_behind:
             self.lingering.append(self.clock() + self.linger)
--- a/limeridge/peers/intervals.py
+++ b/limeridge/peers/intervals.py
@@ -1,6 +1,6 @@
-"""The intervals by which a member acts, all derived from the length of one probing round.
+"""The intervals of a member's periodic activities, derived from the length of a probe round.
 
-It owns the defaults. It must never hold state: one value is shared by all parts of a member.
+The values are immutable and shared by all components of a member.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 
     probe_settings: probing.ProbeSettings = field(default_factory=probing.ProbeSettings)
     sync: int = 10_000 * MS  # between two exchanges of whole tables
-    min_sync_interval: int = 1_000 * MS  # where a digest tells that tables differ
-    reconnect: int = 2_000 * MS  # between two tries to reach one who is held dead, or a seed
-    retention: int = 120_000 * MS  # that the gone are kept
+    min_sync_interval: int = 1_000 * MS  # minimum between two exchanges with a member whose digest differs
+    reconnect: int = 2_000 * MS  # between two attempts to contact a dead member or a seed
+    retention: int = 120_000 * MS  # for which dead and departed members are kept in the table
 
     @classmethod
     def from_probe_interval(
         cls, interval: int, timeout: int = 0, helpers: int = 3, sync: int = 0, retention: int = 0
     ) -> Intervals:
-        """The intervals that follow from a round of `interval` microseconds.
+        """Derives all intervals from a probe round of `interval` microseconds.
 
-        `time_out`, `sync` and `remember` are microseconds too; 0 takes the default for that interval.
+        `timeout`, `sync` and `retention` are in microseconds as well; 0 selects the default.
         """
         stall_threshold = max(interval // 2, 50 * MS)
         probe_settings = probing.ProbeSettings(
--- a/limeridge/peers/join.py
+++ b/limeridge/peers/join.py
@@ -1,6 +1,6 @@
-"""From the file of membership to the part that an instance takes along.
+"""Creates an instance's member from the membership settings file.
 
-It owns the one step between them; faults of the file become the configuration's own `Unusable`.
+Errors in the file are raised as the configuration's own `Unusable`.
 """
 
 from __future__ import annotations
@@ -15,9 +15,10 @@
 
 
 def member_factory(path: str) -> Callable[[Setup, Any, Any], Link]:
-    """Reads the file of membership at `path`; what is returned makes the member of an instance. Raises
-    Unusable where the file is at fault, and so does the call of what is returned where it does not fit
-    the configuration."""
+    """Reads the membership settings at `path` and returns a factory for the member of an instance.
+
+    Raises Unusable if the file is invalid. The factory raises it if the file does not fit the configuration.
+    """
     try:
         peers = read(path)
     except BadFile as bad:
--- a/limeridge/peers/observer.py
+++ b/limeridge/peers/observer.py
@@ -1,7 +1,6 @@
-"""What is logged of the others: changes of their grades, of the connectivity to them and of the share's
-reason.
+"""Logs changes of the members' grades, of the connectivity and of the reason for the share.
 
-It owns what was logged last. It must never change anything but that.
+This module only remembers what it logged last; it changes no other state.
 """
 
 from __future__ import annotations
@@ -14,7 +13,7 @@
 
 
 class Observer:
-    """Compares what is held now with what was logged, one line for each difference."""
+    """Compares the current state with what was last logged, and logs one line per difference."""
 
     def __init__(
         self,
@@ -26,7 +25,7 @@
         now: int,
         interval: int,
     ) -> None:
-        """`every`: microseconds between two looks."""
+        """`interval` is the time between two checks in microseconds."""
         self.members, self.detector, self.reachability = members, detector, reachability
         self.shares, self.outbox = shares, outbox
         self.interval, self.next_at = interval, now
@@ -34,7 +33,7 @@
         self.last_reason = ""
 
     def wake(self, now: int) -> None:
-        """Looks where it is time to; with each call once this member leaves."""
+        """Checks for changes if it is time, or on every call once this member is leaving."""
         if now >= self.next_at or self.members.leaving:
             self.next_at = now + self.interval
             self._log_grade_changes(now)
@@ -42,7 +41,7 @@
             self._log_share_change(now)
 
     def remove_member(self, name: str) -> None:
-        """Drops what was logged of a member that is no longer in the table."""
+        """Drops the last logged grade of a member that is no longer in the table."""
         self.grades.pop(name, None)
 
     def _log_grade_changes(self, now: int) -> None:
--- a/limeridge/peers/outbox.py
+++ b/limeridge/peers/outbox.py
@@ -1,6 +1,6 @@
-"""What a member wants done by whoever drives it: messages to be sent, events to be logged.
+"""Queues of messages to be sent and events to be logged, which the driver of a member takes.
 
-It owns both lists and the bound of the second. It must never send or log anything itself.
+This module bounds the event queue. It sends and logs nothing itself.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 from limeridge.peers.members import Address, Claim
 from limeridge.peers.messages import Message
 
-MAX_EVENTS = 1_000  # kept until somebody takes them
+MAX_EVENTS = 1_000  # kept until the driver takes them
 
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """A message to be sent to `to`, over TCP where `stream` is true, else as a datagram."""
+    """A message to be sent to `to`, over TCP if `stream` is true, else as a datagram."""
 
     to: Address
     message: Message
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Event:
-    """A line for the log."""
+    """A log line."""
 
     event: str
     code: str
@@ -33,34 +33,34 @@
 
 
 class Outbox:
-    """Messages and events in the order in which they came up, until they are taken."""
+    """Pending messages and events, in order of creation."""
 
     def __init__(self) -> None:
         self.sends: list[Send] = []
         self.events: list[Event] = []
 
     def send(self, to: Claim, message: Message, stream: bool = False) -> None:
-        """Adds a message to a member."""
+        """Queues a message to a member."""
         self.send_to(to.address, message, stream)
 
     def send_to(self, to: Address, message: Message, stream: bool = False) -> None:
-        """Adds a message to an address, whoever listens there."""
+        """Queues a message to an address, whichever member listens there."""
         self.sends.append(Send(to, message, stream))
 
     def log(self, event: str, code: str, **fields: object) -> None:
-        """Adds an event; drops it where EVENTS_MOST are waiting already."""
+        """Queues an event; drops it if MAX_EVENTS are already pending."""
         self.log_all((Event(event, code, fields),))
 
     def log_all(self, events: Iterable[Event]) -> None:
-        """Adds events; drops those beyond EVENTS_MOST."""
+        """Queues events; drops those beyond MAX_EVENTS."""
         self.events.extend(list(events)[: max(0, MAX_EVENTS - len(self.events))])
 
     def take_sends(self) -> list[Send]:
-        """All messages that wait; they are no longer held here."""
+        """Returns all pending messages and clears the queue."""
         sends, self.sends = self.sends, []
         return sends
 
     def take_events(self) -> list[Event]:
-        """All events that wait; they are no longer held here."""
+        """Returns all pending events and clears the queue."""
         events, self.events = self.events, []
         return events
--- a/limeridge/peers/peer.py
+++ b/limeridge/peers/peer.py
@@ -1,9 +1,8 @@
-"""One member of a fleet: which of its parts hear of a message, of the time and of a farewell, and in what
-order.
+"""One member of a fleet, assembled from its components.
 
-It owns that order alone; each part owns its own decisions. It must never open a socket, look at a clock or
-encode: `out` holds what is to be sent, `events` what is to be logged, both taken by whoever drives it. It
-raises on nothing that a member of the fleet may send.
+This module only dispatches messages, timers and the departure to the components, in a fixed order; the
+decisions are theirs. It does no I/O and reads no clock: the driver takes the messages to be sent from `out`
+and the events to be logged from `events`. No message that a member of the fleet may send makes it raise.
 """
 
 from __future__ import annotations
@@ -44,14 +43,14 @@
 
 __all__ = ["Intervals", "Peer", "own_claim"]
 
-FRESHNESS_ROUNDS = 4  # that a sign of a member counts
-RECOVERY_ROUNDS = 10  # that a member counts as back from being gone
-OBSERVATIONS_PER_ROUND = 4  # at grades and reasons, in a round
+FRESHNESS_ROUNDS = 4  # for which a contact with a member counts
+RECOVERY_ROUNDS = 10  # for which a returned member is graded BACK
+OBSERVATIONS_PER_ROUND = 4  # checks for changes that are to be logged
 NEVER = 1 << 62  # microseconds
 
 
 class Peer:
-    """A member, driven by messages (`heard`) and by time (`wake` at `next_at`)."""
+    """A member, driven by received messages (`receive`) and by time (`wake` at `next_at`)."""
 
     def __init__(
         self,
@@ -64,11 +63,14 @@
         startup_delay: int = 0,
         list_reader: NodeListReader | None = None,
     ) -> None:
-        """`terms`: of the limit that is shared out, None where there is none; `quiet`: microseconds from now
-        in which no call may begin; `seeker`: where members are found by service discovery too."""
+        """Creates a member that starts at `now`.
+
+        `terms` describes the shared limit, None if there is none; no call may begin for `startup_delay`
+        microseconds. `list_reader` is given if members are also found through service discovery.
+        """
         interval = intervals.probe_settings.interval
         self.intervals, self.terms, self.rng = intervals, terms, rng
-        self.unix = 0  # Unix time in microseconds, as whoever drives it last told, for the delegates
+        self.unix = 0  # Unix time in microseconds for the delegates, updated by the driver
         self.outbox = Outbox()
         self.members = Members(own)
         self.detector = Detector(self.members, rng, intervals.probe_settings, now)
@@ -95,11 +97,11 @@
             members, detector, reachability, self.shares, outbox, now, interval // OBSERVATIONS_PER_ROUND
         )
 
-    # ---- what is held
+    # ---- state
 
     @property
     def own(self) -> Claim:
-        """What this member says of itself."""
+        """This member's own claim."""
         return self.members.own
 
     @property
@@ -109,34 +111,34 @@
 
     @property
     def holder(self) -> Holder | None:
-        """What this member may use of the limit; None where none is shared out."""
+        """The record of supports for this member's share; None if the limit is not shared."""
         return self.shares.holder if self.shares is not None else None
 
     @property
     def out(self) -> list[Send]:
-        """Messages that wait to be sent."""
+        """Messages waiting to be sent."""
         return self.outbox.sends
 
     @property
     def events(self) -> list[Event]:
-        """Events that wait to be logged."""
+        """Events waiting to be logged."""
         return self.outbox.events
 
     @property
     def in_sync(self) -> set[str]:
-        """The names of those that held the same table when last heard."""
+        """Names of the members whose last digest equalled ours."""
         return self.tables.in_sync
 
     def count_in_sync(self) -> int:
-        """How many of the others that are there held the same table when last heard."""
+        """Number of other present members whose last digest equalled ours."""
         return self.tables.count_in_sync()
 
     # ---- time
 
     def next_at(self) -> int:
-        """When `wake` is to be called next, microseconds."""
+        """When `wake` is due next, microseconds."""
         times = self.relays.deadlines()
-        if self.leaving:  # nothing more is asked
+        if self.leaving:  # only pending relays are still served
             return min(times, default=NEVER)
         times += [self.detector.next_at, self.tables.next_at, self.discovery.next_at()]
         if self.shares is not None:
@@ -144,7 +146,7 @@
         return min([*times, *self.delegates.wake_at.values()])
 
     def wake(self, now: int) -> None:
-        """To be called at `next_at` or soon after; earlier does no harm."""
+        """Runs what is due. Call it at `next_at` or soon after; an earlier call is harmless."""
         if not self.leaving:
             self.prober.wake(now)
             if self.shares is not None:
@@ -158,7 +160,8 @@
         self.observer.wake(now)
 
     def leave(self, now: int) -> None:
-        """Told before a drain: to as many as a claim is told, at once, so that no round need pass."""
+        """Announces, before a drain, that this member leaves. The announcement is sent at once to as many
+        members as an update is sent to, without waiting for the next probe round."""
         if self.leaving:
             return
         self.delegates.leave(now)
@@ -166,8 +169,8 @@
             self.members.replace_own_claim(replace(self.own, state=State.LEFT), now), now
         )
         others = sorted(self.members.others(State.ALIVE, State.SUSPECT), key=lambda claim: claim.name)
-        most = self.members.transmission_limit()
-        for claim in self.rng.sample(others, min(len(others), most)):
+        limit = self.members.transmission_limit()
+        for claim in self.rng.sample(others, min(len(others), limit)):
             self.outbox.send(claim, Ping(0, self.own, claim.name, self.members.digest))
 
     def _remove_member(self, name: str) -> None:
@@ -175,14 +178,14 @@
         self.observer.remove_member(name)
         self.tables.remove_member(name)
 
-    # ---- what came
+    # ---- messages
 
     def receive(self, message: Message, now: int) -> Table | None:
-        """Takes a message; what is returned goes back over the stream that brought it."""
+        """Handles a message. A table that is returned is to be sent back over the same stream."""
         sender = message.own
         self.reachability.contact(sender.name).last_received = now
         if sender.name == self.own.name and sender.life == self.own.life:
-            return None  # our own words, come back
+            return None  # our own message, sent back to us
         self.updates.merge(sender, now)
         if isinstance(message, Table):
             return self._receive_table(message, now)
@@ -237,35 +240,36 @@
     # ---- delegates
 
     def attach(self, delegate: Delegate, now: int) -> None:
-        """Carries `delegate` from now on."""
+        """Adds a delegate, which takes part from now on."""
         self.delegates.attach(delegate, now)
 
     def flush(self, kind: str, now: int) -> None:
-        """Sends what the delegate of that kind has to say after something was asked of it from outside.
+        """Sends and logs what the delegate of that kind has queued, after it was called from outside.
 
-        Raises KeyError where there is no such delegate.
+        Raises KeyError if there is no such delegate.
         """
         self.delegates.flush(kind, now)
 
     # ---- shares
 
     def share(self, now: int) -> int | None:
-        """Calls in hand that this instance may have now; None where the limit is not shared out."""
+        """Concurrent calls that this instance may have now; None if the limit is not shared."""
         return self.shares.share(now) if self.shares is not None else None
 
     def reason(self, now: int) -> str:
-        """A reason code for the share; empty where the limit is not shared out."""
+        """Reason code for the current share; empty if the limit is not shared."""
         return self.shares.reason(now) if self.shares is not None else ""
 
     def use_allotted_surplus(self, allotted_surplus: Callable[[int], int]) -> None:
-        """Lets a duty deal what is above the floors, in place of views.
+        """Lets a duty allot the surplus above the floors, in place of views.
 
-        `above` gives this member's calls at a time. Nothing changes where the limit is not shared out.
+        `allotted_surplus` returns this member's calls above its floor at a given time. Without a shared limit
+        this has no effect.
         """
         if self.shares is not None:
             self.shares.allotted_surplus = allotted_surplus
 
 
 def own_claim(name: str, address: Address, unix: int, nonce: int, zone: str = "", version: str = "") -> Claim:
-    """The claim of a process that starts now; `unix` in microseconds."""
+    """Builds the claim of a process that starts now; `unix` is Unix time in microseconds."""
     return Claim(name, Life(max(1, unix), nonce), 0, State.ALIVE, *address, zone, version)
--- a/limeridge/peers/relays.py
+++ b/limeridge/peers/relays.py
@@ -1,7 +1,7 @@
-"""Probes made for others: a member that got no answer asks some helpers to try in its place.
+"""Indirect probes made on behalf of other members (SWIM's ping-req).
 
-It owns the probes in hand, their numbers and their end. It must never judge the target: the answer, or the
-word that there was none, goes to the member that asked.
+This module keeps the pending probes, their sequence numbers and time-outs. It draws no conclusion about the
+target: the ack or nack goes to the member that requested the probe.
 """
 
 from __future__ import annotations
@@ -13,47 +13,47 @@
 from limeridge.peers.messages import Ack, Nack, PingRequest
 from limeridge.peers.outbox import Outbox
 
-MAX_RELAYS = 64  # probes in hand for others
-FIRST_SEQ = 1 << 32  # apart from the detector's numbers
+MAX_RELAYS = 64  # pending probes for other members
+FIRST_SEQ = 1 << 32  # separate from the detector's own sequence numbers
 
 
 @dataclass(slots=True)
 class Relay:
-    """A probe in hand for another member."""
+    """A pending probe for another member."""
 
     requester: Claim
-    seq: int  # the asker's number for it
+    seq: int  # the requester's sequence number
     target: str
-    expires_at: int  # when the asker is told that there was no answer, microseconds
+    expires_at: int  # when a nack is sent to the requester, microseconds
 
 
 class Relays:
-    """All probes in hand for others."""
+    """All pending probes for other members."""
 
     def __init__(self, members: Members, dissemination: Dissemination, outbox: Outbox, timeout: int) -> None:
-        """`wait`: microseconds that a target has to answer."""
+        """A target has `timeout` microseconds to answer."""
         self.members, self.dissemination, self.outbox = members, dissemination, outbox
         self.timeout = timeout
         self.pending: dict[int, Relay] = {}
         self.last_seq = FIRST_SEQ
 
     def deadlines(self) -> list[int]:
-        """When each probe in hand runs out, microseconds."""
+        """The time-outs of all pending probes, microseconds."""
         return [relay.expires_at for relay in self.pending.values()]
 
     def begin(self, request: PingRequest, now: int) -> None:
-        """Probes the target that `ask` names; refuses where RELAYS_MOST are in hand."""
+        """Probes the target of the request; sends a nack if MAX_RELAYS are pending."""
         if len(self.pending) >= MAX_RELAYS:
             self.outbox.send(request.own, Nack(request.seq, self.members.own))
             return
         self.last_seq += 1
         self.pending[self.last_seq] = Relay(request.own, request.seq, request.to, now + self.timeout)
         ping = self.dissemination.build_ping_for(request.to, self.last_seq, [request.to])
-        # To the address that the asker knows: it may be newer than ours.
+        # Uses the requester's address of the target, which may be newer than ours.
         self.outbox.send_to((request.host, request.port), ping)
 
     def handle_ack(self, ack: Ack) -> bool:
-        """Passes an answer on to the member that asked for it; False where `ack` is for no probe in hand."""
+        """Relays an ack to the requester; returns False if it belongs to no pending probe."""
         relay = self.pending.get(ack.seq)
         if relay is None:
             return False
@@ -64,7 +64,7 @@
         return True
 
     def expire(self, now: int) -> None:
-        """Tells those whose targets did not answer in time."""
+        """Sends nacks for the probes that have timed out."""
         for seq, relay in list(self.pending.items()):
             if now >= relay.expires_at:
                 del self.pending[seq]
--- a/limeridge/peers/setup.py
+++ b/limeridge/peers/setup.py
@@ -1,7 +1,4 @@
-"""The settings of membership: a file of settings/peers.proto, checked across its fields.
-
-It owns the checks and the defaults. It must never open a socket.
-"""
+"""Reads and validates the membership settings (settings/peers.proto), and fills in the defaults."""
 
 from __future__ import annotations
 
@@ -21,28 +18,28 @@
 from limeridge.settings.load import Checked, load
 
 MS = 1_000
-MIN_KEY_BYTES = 16  # bytes
-MAX_ZONE_LENGTH = 32  # of a zone's name: it goes with each claim
+MIN_KEY_BYTES = 16
+MAX_ZONE_LENGTH = 32  # characters; the zone is part of every claim on the wire
 MAX_NAME_LENGTH = 64
-MAX_SOCKET_PATH_BYTES = 100  # bytes of a Unix socket's path
+MAX_SOCKET_PATH_BYTES = 100  # of a Unix socket
 
 
 @dataclass(slots=True, frozen=True)
 class DutySetup:
-    """Checked; times in microseconds."""
+    """Validated settings of the duties; times are in microseconds."""
 
     electorate: Electorate
     terms: DutyTerms
     waits: Waits
     list_read: bool
-    allot: int  # microseconds that a grant of calls lasts; 0 where the limit is not dealt by need
+    allot: int  # microseconds that a grant of calls lasts; 0 if the limit is not allotted by demand
 
 
 @dataclass(slots=True, frozen=True)
 class PeerSetup:
-    """Checked; times in microseconds."""
+    """Validated membership settings; times are in microseconds."""
 
-    listen: Address  # an empty host stands for the one where callers connect
+    listen: Address  # an empty host stands for the address where callers connect
     advertise: Address | None
     zone: str
     seeds: tuple[Address, ...]
@@ -50,20 +47,20 @@
     key: bytes
     intervals: Intervals
     terms: Terms | None
-    linger: int  # -1 where the configuration tells it
+    linger: int  # -1: taken from the configuration
     longest_configured: bool
     from_list: bool = False  # members are also found by service discovery
     duties: DutySetup | None = None
 
 
 def read(path: str) -> PeerSetup:
-    """Raises Unusable with file, line, column, field."""
+    """Reads the settings file. Raises Unusable with file, line, column and field."""
     message = load(path, pb.Peers(), check)
     return setup_of(message)
 
 
 def check(message: pb.Peers, checked: Checked) -> None:
-    """Raises Unusable, with line and field, where the file of membership is at fault."""
+    """Validates the settings. Raises Unusable with line and field."""
     if not message.fleet or len(message.fleet) > MAX_NAME_LENGTH:
         raise checked.refuse("fleet", f"expected a name of 1 to {MAX_NAME_LENGTH} characters")
     _check_key(message, checked)
@@ -73,7 +70,9 @@
     if message.advertise:
         _check_address(message.advertise, "advertise", checked)
     elif host in ("0.0.0.0", "::"):
-        raise checked.refuse("listen", "expected `advertise` beside an address that nobody can be sent to")
+        raise checked.refuse(
+            "listen", "expected `advertise` as well, since a wildcard address cannot be contacted"
+        )
     for number, seed in enumerate(message.seed):
         _check_address(seed, f"seed[{number}]", checked)
     if len(message.zone) > MAX_ZONE_LENGTH:
@@ -112,9 +111,11 @@
     checked.number("duties.steady_ms", duties.steady_ms or 30_000, lease, 86_400_000, "milliseconds")
     checked.number("duties.allot_ms", duties.allot_ms or 1_500, 100, 600_000, "milliseconds")
     if duties.ledger_allot and not message.HasField("shares"):
-        raise checked.refuse("duties.ledger_allot", "expected `shares` beside it: their surplus is dealt out")
+        raise checked.refuse(
+            "duties.ledger_allot", "expected `shares` as well, since their surplus is allotted"
+        )
     if duties.list_read and not message.from_list:
-        raise checked.refuse("duties.list_read", "expected `from_list: true` beside it")
+        raise checked.refuse("duties.list_read", "expected `from_list: true` as well")
 
 
 def _electorate(duties: pb.Duties) -> Electorate:
@@ -144,13 +145,15 @@
         if not name or len(name) > MAX_NAME_LENGTH:
             raise checked.refuse(place, f"expected a name of 1 to {MAX_NAME_LENGTH} characters")
         if name in shares.voter[:number]:
-            raise checked.refuse(place, f"expected each name once, {name} stands there twice")
+            raise checked.refuse(place, f"expected each name once, got {name} twice")
     if len(shares.voter) > shares.capacity:
-        raise checked.refuse("shares.voter", f"expected {shares.capacity} at most, as there are processes")
+        raise checked.refuse("shares.voter", f"expected at most {shares.capacity} voters, the capacity")
     terms = _share_terms(shares)
     voters = len(shares.voter) or shares.capacity
     if terms.quorum > voters:
-        raise checked.refuse("shares.doubles", f"expected less: {terms.quorum} of {voters} voters are needed")
+        raise checked.refuse(
+            "shares.doubles", f"expected less: a quorum would be {terms.quorum} of {voters} voters"
+        )
     checked.number("shares.floor_share", terms.floor_share, 0, 1, "a share")
     checked.number("shares.lease_ms", terms.lease / MS, 100, 600_000, "milliseconds")
     checked.number("shares.longest_ms", terms.longest / MS, 1, 600_000, "milliseconds")
@@ -159,7 +162,7 @@
     checked.number("shares.drift", terms.drift, 0, 0.2, "a share")
     checked.number("shares.linger_ms", shares.linger_ms, 0, longest, "milliseconds within longest_ms")
     if terms.surplus < 1 and terms.floor < 1:
-        raise checked.refuse("shares.limit", "expected a call or more to share out")
+        raise checked.refuse("shares.limit", "expected at least one call to share")
 
 
 def _check_address(text: str, path: str, checked: Checked, any_host: bool = False) -> Address:
@@ -171,7 +174,7 @@
     except ValueError:
         raise checked.refuse(path, "expected an IP address and a port, as in 127.0.0.1:7950") from None
     if not port.isdecimal() or not 1 <= int(port) <= 65_535:
-        raise checked.refuse(path, "expected a port from 1 to 65535 behind the address")
+        raise checked.refuse(path, "expected a port from 1 to 65535 after the address")
     return host, int(port)
 
 
@@ -195,8 +198,8 @@
 
 
 def setup_of(message: pb.Peers) -> PeerSetup:
-    """The settings that a file, checked already, comes to; absent fields get their defaults. Raises OSError
-    where the key file has gone since."""
+    """Converts a validated message to settings, with defaults for absent fields. Raises OSError if the key
+    file has been removed since."""
     interval = int((message.interval_ms or 1_000) * MS)
     intervals = Intervals.from_probe_interval(
         interval,
