--- a/limeridge/peers/join.py
+++ b/limeridge/peers/join.py
@@ -9,12 +9,12 @@
 from typing import Any
 
 from limeridge.config import Setup, Unusable
-from limeridge.peers.link import Link
+from limeridge.peers.link import MemberService
 from limeridge.peers.setup import read
 from limeridge.settings.load import Unusable as BadFile
 
 
-def member_factory(path: str) -> Callable[[Setup, Any, Any], Link]:
+def member_factory(path: str) -> Callable[[Setup, Any, Any], MemberService]:
     """Reads the membership settings at `path` and returns a factory for the member of an instance.
 
     Raises Unusable if the file is invalid. The factory raises it if the file does not fit the configuration.
@@ -23,4 +23,4 @@
         peers = read(path)
     except BadFile as bad:
         raise Unusable(str(bad)) from None
-    return lambda setup, reactor, log: Link(setup, peers, reactor, log)
+    return lambda setup, reactor, log: MemberService(setup, peers, reactor, log)
--- a/limeridge/peers/link.py
+++ b/limeridge/peers/link.py
@@ -47,12 +47,12 @@
 from limeridge.peers.setup import PeerSetup
 
 MS = 1_000
-IN_MOST = 2_000  # datagrams taken a second; what is more is dropped, as a full socket would
-STREAMS_MOST = 16  # connections for tables at once, each way
-STREAM_WAIT = 2.0  # seconds that one may last
-EVENTS_KEPT = 200  # for `limeridge peers events`
-LISTEN_EVERY, LISTEN_TRIES = 0.05, 100  # as for callers: a predecessor may still be dying
-LINE_MOST = 256
+MAX_DATAGRAMS_PER_SECOND = 2_000  # datagrams taken a second; what is more is dropped, as a full socket would
+MAX_STREAMS = 16  # connections for tables at once, each way
+STREAM_TIMEOUT = 2.0  # seconds that one may last
+MAX_RECENT_EVENTS = 200  # for `limeridge peers events`
+LISTEN_RETRY_INTERVAL, LISTEN_RETRIES = 0.05, 100  # as for callers: a predecessor may still be dying
+MAX_LINE_LENGTH = 256
 
 
 def boot_time() -> int:
@@ -61,78 +61,78 @@
     return time.clock_gettime_ns(clock) // 1_000
 
 
-class Datagrams(DatagramProtocol):
+class PeerDatagramProtocol(DatagramProtocol):
     """The member's UDP port."""
 
     noisy = False
 
-    def __init__(self, link: Link) -> None:
-        self.link = link
+    def __init__(self, service: MemberService) -> None:
+        self.service = service
 
     def datagramReceived(self, data: bytes, addr: Any) -> None:
         """Called by Twisted for each datagram."""
-        self.link.datagram(data)
+        self.service.receive_datagram(data)
 
     def connectionRefused(self) -> None:
         """Called by Twisted where a peer has no socket there: the failure detector finds out by itself."""
         return
 
 
-class Listing(DatagramProtocol):
+class NodeListProtocol(DatagramProtocol):
     """Service discovery, where its list can be read: it is told our address and asked who is there."""
 
     noisy = False
 
-    def __init__(self, link: Link) -> None:
-        self.link = link
+    def __init__(self, service: MemberService) -> None:
+        self.service = service
 
-    def ask(self) -> None:
+    def send_request(self) -> None:
         """Reports our own address and asks who is listed, in two datagrams; counts what could not be sent."""
-        link, transport = self.link, cast(Any, self.transport)
-        list_reader = link.peer.discovery.list_reader
+        service, transport = self.service, cast(Any, self.transport)
+        list_reader = service.peer.discovery.list_reader
         if transport is None or list_reader is None:
             return
-        own, to = link.peer.own, (link.setup.node_list.host, link.setup.node_list.port)
+        own, to = service.peer.own, (service.setup.node_list.host, service.setup.node_list.port)
         for text in (f"AT {own.name} {own.host}:{own.port}", f"LIST {list_reader.request_id}"):
             try:
                 transport.write(text.encode(), to)
             except OSError:
-                link.counts["list-unsent"] += 1
+                service.counts["list-unsent"] += 1
 
     def datagramReceived(self, data: bytes, addr: Any) -> None:
         """Called by Twisted for each part of service discovery's answer; counts what is none."""
         words = data.decode("ascii", "replace").split(" ")
         if len(data) > MAX_DATAGRAM_BYTES or words[0] != "LISTED":
-            self.link.counts["list-strange"] += 1
+            self.service.counts["list-strange"] += 1
             return
-        self.link.listed(words[1:])
+        self.service.receive_list(words[1:])
 
     def connectionRefused(self) -> None:
         """Called by Twisted where nothing listens at service discovery's address; counted."""
-        self.link.counts["list-refused"] += 1
+        self.service.counts["list-refused"] += 1
 
 
-class Stream(Int32StringReceiver):
+class TableStreamProtocol(Int32StringReceiver):
     """One exchange of tables."""
 
     MAX_LENGTH = MAX_STREAM_BYTES
     transport: Any
 
-    def __init__(self, link: Link, message: Message | None) -> None:
-        self.link, self.message = link, message
+    def __init__(self, service: MemberService, message: Message | None) -> None:
+        self.service, self.message = service, message
         self.code = ""
         self.timer: Any = None
 
     def connectionMade(self) -> None:
         """Called by Twisted: sends the message that this end was made for, if any."""
-        self.timer = self.link.reactor.callLater(STREAM_WAIT, self.end, "slow")
+        self.timer = self.service.reactor.callLater(STREAM_TIMEOUT, self.abort, "slow")
         if self.message is not None:
-            self.put(encode(self.message, self.link.key))
+            self.send_encoded(encode(self.message, self.service.key))
             if not getattr(self.message, "answer", False):
                 self.code = "done"
                 self.transport.loseConnection()
 
-    def put(self, data: bytes) -> None:
+    def send_encoded(self, data: bytes) -> None:
         """Sends one message, its length ahead."""
         self.sendString(data)  # type: ignore[no-untyped-call]
 
@@ -140,17 +140,17 @@
         """Called by Twisted for each whole message: the first is answered, then the connection is closed."""
         if self.code:
             return
-        answer = self.link.streamed(data)
+        answer = self.service.receive_stream_message(data)
         if answer is not None:
-            self.put(encode(answer, self.link.key))
+            self.send_encoded(encode(answer, self.service.key))
         self.code = "done"
         self.transport.loseConnection()
 
     def lengthLimitExceeded(self, length: int) -> None:
         """Called by Twisted where a message is announced that is longer than MAX_STREAM_BYTES."""
-        self.end("too-long")
+        self.abort("too-long")
 
-    def end(self, code: str) -> None:
+    def abort(self, code: str) -> None:
         """Aborts the connection; `code` is the reason that is counted."""
         self.code = self.code or code
         self.transport.abortConnection()
@@ -159,88 +159,90 @@
         """Called by Twisted at the end of the connection; counts why."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
-        self.link.ended(self, self.code or "broke")
+        self.service.record_stream_end(self, self.code or "broke")
 
 
-class Streams(Factory):
+class TableStreamServerFactory(Factory):
     """Connections that others open to us."""
 
     noisy = False
 
-    def __init__(self, link: Link) -> None:
-        self.link = link
+    def __init__(self, service: MemberService) -> None:
+        self.service = service
 
-    def buildProtocol(self, addr: Any) -> Stream | None:
+    def buildProtocol(self, addr: Any) -> TableStreamProtocol | None:
         """Called by Twisted for a new connection; None, which closes it, where STREAMS_MOST are open."""
-        if self.link.streams_in >= STREAMS_MOST:
-            self.link.counts["stream-crowd"] += 1
+        if self.service.streams_in >= MAX_STREAMS:
+            self.service.counts["stream-crowd"] += 1
             return None
-        self.link.streams_in += 1
-        return Stream(self.link, None)
+        self.service.streams_in += 1
+        return TableStreamProtocol(self.service, None)
 
 
-class Way(ClientFactory):
+class TableStreamClientFactory(ClientFactory):
     """A connection that we open to another, for one message."""
 
     noisy = False
 
-    def __init__(self, link: Link, message: Message) -> None:
-        self.link, self.message = link, message
+    def __init__(self, service: MemberService, message: Message) -> None:
+        self.service, self.message = service, message
 
-    def buildProtocol(self, addr: Any) -> Stream:
+    def buildProtocol(self, addr: Any) -> TableStreamProtocol:
         """Called by Twisted once the connection stands."""
-        return Stream(self.link, self.message)
+        return TableStreamProtocol(self.service, self.message)
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
         """Called by Twisted where the other could not be reached; counted."""
-        self.link.streams_out -= 1
-        self.link.counts["stream-unreached"] += 1
+        self.service.streams_out -= 1
+        self.service.counts["stream-unreached"] += 1
 
 
-class Shown(LineReceiver):
+class StatusProtocol(LineReceiver):
     """One question on the member's socket (`show`, `brief`, `duties`, `events`), or a duty given up by
     hand, its only command; answered by one line."""
 
     delimiter = b"\n"
-    MAX_LENGTH = LINE_MOST
+    MAX_LENGTH = MAX_LINE_LENGTH
     transport: Any
 
-    def __init__(self, link: Link) -> None:
-        self.link = link
+    def __init__(self, service: MemberService) -> None:
+        self.service = service
 
     def lineReceived(self, line: bytes) -> None:
         """Called by Twisted for the question; answers it as one line of JSON and closes the connection."""
-        asked = line.strip()
-        if asked == b"show":
-            told: object = self.link.snapshot()
-        elif asked == b"brief":
-            told = self.link.brief()
-        elif asked == b"duties":
-            told = self.link.duties.shown(self.link.clock()) if self.link.duties is not None else {}
-        elif asked.startswith((b"release ", b"move ")):
-            told = self.link.hand_over(asked.decode("utf-8", "replace").split("\t"))
-        elif asked == b"events":
-            told = list(self.link.kept)
+        command = line.strip()
+        if command == b"show":
+            result: object = self.service.build_status()
+        elif command == b"brief":
+            result = self.service.build_summary()
+        elif command == b"duties":
+            result = (
+                self.service.duties.shown(self.service.clock()) if self.service.duties is not None else {}
+            )
+        elif command.startswith((b"release ", b"move ")):
+            result = self.service.hand_over(command.decode("utf-8", "replace").split("\t"))
+        elif command == b"events":
+            result = list(self.service.recent_events)
         else:
-            told = {"error": "expected show, brief, duties or events"}
-        self.transport.write(orjson.dumps(told, default=str) + b"\n")
+            result = {"error": "expected show, brief, duties or events"}
+        self.transport.write(orjson.dumps(result, default=str) + b"\n")
         self.transport.loseConnection()
 
 
-class ShownFactory(Factory):
+class StatusFactory(Factory):
     """Connections to the socket that shows what is held."""
 
     noisy = False
 
-    def __init__(self, link: Link) -> None:
-        self.link = link
+    def __init__(self, service: MemberService) -> None:
+        self.service = service
 
-    def buildProtocol(self, addr: Any) -> Shown:
+    def buildProtocol(self, addr: Any) -> StatusProtocol:
         """Called by Twisted for a new connection."""
-        return Shown(self.link)
+        return StatusProtocol(self.service)
 
 
-class Link:
+class MemberService:
     """A member on sockets. `setup` is the instance's own configuration, `peers` the file of membership."""
 
     def __init__(
@@ -251,44 +253,46 @@
         log: Any,
         clock: Callable[[], int] = boot_time,
         unix: Callable[[], float] = time.time,
-        draw: Callable[[], int] | None = None,
+        draw_nonce: Callable[[], int] | None = None,
     ) -> None:
         """Raises Unusable where the two don't go together."""
         self.setup, self.reactor, self.log, self.clock, self.key = setup, reactor, log, clock, peers.key
         self.unix = unix
         self.show = peers.show
         # Nonces must differ between processes that were given the same seed.
-        nonce = draw() if draw is not None else int.from_bytes(os.urandom(7), "big")
+        nonce = draw_nonce() if draw_nonce is not None else int.from_bytes(os.urandom(7), "big")
         rng = random.Random(setup.seed ^ nonce)
         host, port = peers.listen
         self.listen: Address = host or setup.listen.host, port
-        linger, terms = self._terms(setup, peers)
+        linger, terms = self._share_terms(setup, peers)
         own = own_claim(
             setup.name, peers.advertise or self.listen, int(unix() * 1e6), nonce, peers.zone, __version__
         )
         list_reader = NodeListReader(NodeListPolicy(), rng, clock()) if peers.from_list else None
         self.peer = Peer(own, peers.seeds, peers.intervals, terms, rng, clock(), linger, list_reader)
-        self.listing = Listing(self) if peers.from_list else None
+        self.node_list_protocol = NodeListProtocol(self) if peers.from_list else None
         self.gate = Gate(self.share, clock, linger)
         self.duty_delegate: DutyDelegate | None = None
-        self.duties = self._duties(peers, rng)
+        self.duties = self._create_duties(peers, rng)
         self.counts: Counter[str] = Counter()
-        self.kept: deque[dict[str, object]] = deque(maxlen=EVENTS_KEPT)
+        self.recent_events: deque[dict[str, object]] = deque(maxlen=MAX_RECENT_EVENTS)
         self.streams_in = self.streams_out = 0
-        self.second, self.taken = 0, 0
+        self.current_second, self.received_this_second = 0, 0
         self.timer: Any = None
         self.datagrams: Any = None
         self.ports: list[Any] = []
         self.stopped = False
 
     @staticmethod
-    def _terms(setup: Setup, peers: PeerSetup) -> tuple[int, Any]:
-        plain: Mapping[str, Any] = setup.plain
-        linger = peers.linger if peers.linger >= 0 else int(plain.get("instance.linger", 200_000))
+    def _share_terms(setup: Setup, peers: PeerSetup) -> tuple[int, Any]:
+        settings: Mapping[str, Any] = setup.plain
+        linger = peers.linger if peers.linger >= 0 else int(settings.get("instance.linger", 200_000))
         if peers.terms is None:
             return linger, None
-        most = max(int(plain.get(f"products.{number}.expiry", 0)) for number in range(len(setup.products)))
-        longest = most + linger
+        longest_expiry = max(
+            int(settings.get(f"products.{number}.expiry", 0)) for number in range(len(setup.products))
+        )
+        longest = longest_expiry + linger
         if peers.longest_configured and peers.terms.longest < longest:
             raise Unusable(
                 f"peers: shares.longest_ms: expected {longest / MS:g} or more, the longest "
@@ -296,27 +300,29 @@
             )
         return linger, replace(peers.terms, longest=max(peers.terms.longest, longest))
 
-    def _duties(self, peers: PeerSetup, rng: random.Random) -> Duties | None:
-        told = peers.duties
-        if told is None:
+    def _create_duties(self, peers: PeerSetup, rng: random.Random) -> Duties | None:
+        settings = peers.duties
+        if settings is None:
             return None
         own, now = self.peer.own, self.clock()
         declared, name = {}, f"list-read {own.zone}".strip()
-        if told.list_read:
+        if settings.list_read:
             meanwhile = "each reads for itself, seldom"
-            declared[name] = Declared(name, told.terms, meanwhile=meanwhile)
-        if told.allot:
-            declared[ALLOT] = Declared(ALLOT, told.terms, meanwhile="floors alone")
-        duties = Duties(own.name, own.life.nonce, told.electorate, declared, told.waits, rng, now, told.terms)
+            declared[name] = Declared(name, settings.terms, meanwhile=meanwhile)
+        if settings.allot:
+            declared[ALLOT] = Declared(ALLOT, settings.terms, meanwhile="floors alone")
+        duties = Duties(
+            own.name, own.life.nonce, settings.electorate, declared, settings.waits, rng, now, settings.terms
+        )
         allotting = None
         terms = self.peer.terms
-        if told.allot and terms is not None:
-            allot = AllotTerms(terms.surplus, told.allot, terms.longest, terms.drift)
+        if settings.allot and terms is not None:
+            allot = AllotTerms(terms.surplus, settings.allot, terms.longest, terms.drift)
             allotting = Allotting(
                 allot, duties, Taker(allot), lambda: max(0, self.gate.collect_demand() - terms.floor)
             )
             self.peer.use_allotted_surplus(allotting.share)
-        if told.list_read:
+        if settings.list_read:
             self.peer.discovery.may_read_list = lambda at: duties.holder(name, at) in ("", own.name)
         self.duty_delegate = DutyDelegate(duties, allotting)
         self.peer.attach(self.duty_delegate, now)
@@ -326,11 +332,11 @@
 
     def start(self) -> None:
         """Opens the sockets and begins to take part."""
-        self._listen(LISTEN_TRIES)
+        self._listen(LISTEN_RETRIES)
         if self.show:
-            self._listen_to_show()
-        if self.listing is not None:
-            self.ports.append(self.reactor.listenUDP(0, self.listing, interface=self.listen[0]))
+            self._listen_for_status()
+        if self.node_list_protocol is not None:
+            self.ports.append(self.reactor.listenUDP(0, self.node_list_protocol, interface=self.listen[0]))
         own, (host, port) = self.peer.own, self.listen
         self.log.event(
             "peers",
@@ -340,7 +346,7 @@
             seeds=len(self.peer.discovery.seeds),
             shares=self.peer.terms is not None,
         )
-        self._turn()
+        self._process_output()
 
     def share(self) -> int | None:
         """Calls in hand that this instance may have now; None where the limit is not shared out."""
@@ -349,7 +355,7 @@
     def leave(self) -> None:
         """Tells the others that this instance leaves; it goes on answering until `stop`."""
         self.peer.leave(self.clock())
-        self._turn()
+        self._process_output()
 
     def stop(self) -> None:
         """Closes the sockets and ends the timer."""
@@ -361,78 +367,78 @@
 
     # ---- sockets
 
-    def _listen(self, tries: int) -> None:
+    def _listen(self, retries_left: int) -> None:
         if self.stopped:
             return
         host, port = self.listen
-        made: list[Any] = []
+        opened: list[Any] = []
         try:
-            datagrams = Datagrams(self)
-            made.append(self.reactor.listenUDP(port, datagrams, interface=host, maxPacketSize=65_536))
-            made.append(self.reactor.listenTCP(port, Streams(self), STREAMS_MOST, host))
-        except CannotListenError as trouble:
-            for each in made:
+            datagrams = PeerDatagramProtocol(self)
+            opened.append(self.reactor.listenUDP(port, datagrams, interface=host, maxPacketSize=65_536))
+            opened.append(self.reactor.listenTCP(port, TableStreamServerFactory(self), MAX_STREAMS, host))
+        except CannotListenError as error:
+            for each in opened:
                 each.stopListening()
-            self.log.event("peers", "address-taken", why=str(trouble), tries_left=tries)
-            if tries:
-                self.reactor.callLater(LISTEN_EVERY, self._listen, tries - 1)
+            self.log.event("peers", "address-taken", why=str(error), tries_left=retries_left)
+            if retries_left:
+                self.reactor.callLater(LISTEN_RETRY_INTERVAL, self._listen, retries_left - 1)
             return
         self.datagrams = datagrams
-        self.ports += made
+        self.ports += opened
 
-    def _listen_to_show(self) -> None:
+    def _listen_for_status(self) -> None:
         path = Path(self.show.replace("%n", self.setup.name))
         try:
             if path.is_socket():
                 path.unlink()  # of an earlier life
-            self.ports.append(self.reactor.listenUNIX(str(path), ShownFactory(self), mode=0o600))
-        except (OSError, CannotListenError) as trouble:
-            self.log.event("peers", "show-unusable", why=str(trouble))
+            self.ports.append(self.reactor.listenUNIX(str(path), StatusFactory(self), mode=0o600))
+        except (OSError, CannotListenError) as error:
+            self.log.event("peers", "show-unusable", why=str(error))
 
-    def datagram(self, data: bytes) -> None:
+    def receive_datagram(self, data: bytes) -> None:
         """Takes a datagram; what is not of this fleet, or beyond IN_MOST a second, is counted and dropped."""
         second = self.clock() // 1_000_000
-        if second != self.second:
-            self.second, self.taken = second, 0
-        message = self._read(data)
+        if second != self.current_second:
+            self.current_second, self.received_this_second = second, 0
+        message = self._decode(data)
         if message is None:
             return
-        self.taken += 1  # what is not ours does not eat up the room of what is
-        if self.taken > IN_MOST:
+        self.received_this_second += 1  # what is not ours does not eat up the room of what is
+        if self.received_this_second > MAX_DATAGRAMS_PER_SECOND:
             self.counts["over-rate"] += 1
             return
-        self._heard(message)
+        self._dispatch(message)
 
-    def listed(self, words: list[str]) -> None:
+    def receive_list(self, words: list[str]) -> None:
         """Takes a part of service discovery's answer, split at its blanks, without its first word."""
         self.peer.discovery.receive_list(words)
-        self._turn()
+        self._process_output()
 
-    def streamed(self, data: bytes) -> Table | None:
+    def receive_stream_message(self, data: bytes) -> Table | None:
         """Takes a message that came over TCP; the table that goes back, if any."""
-        message = self._read(data)
-        return None if message is None else self._heard(message)
+        message = self._decode(data)
+        return None if message is None else self._dispatch(message)
 
-    def _read(self, data: bytes) -> Message | None:
+    def _decode(self, data: bytes) -> Message | None:
         """None for what is not ours, counted by its code."""
         try:
             return decode(data, self.key)
-        except InvalidMessageError as foreign:
-            self.counts[f"foreign-{foreign}"] += 1
+        except InvalidMessageError as invalid:
+            self.counts[f"foreign-{invalid}"] += 1
             return None
 
-    def _heard(self, message: Message) -> Table | None:
+    def _dispatch(self, message: Message) -> Table | None:
         self.counts["heard"] += 1
         answer = None
         try:
             self.peer.unix = int(self.unix() * 1e6)
             answer = self.peer.receive(message, self.clock())
-        except Exception as trouble:  # a defect in what a member made of it: others' words still count
-            self.log.fault("peers-fault", trouble)
-        self._turn()
+        except Exception as error:  # a defect in what a member made of it: others' words still count
+            self.log.fault("peers-fault", error)
+        self._process_output()
         return answer
 
-    def ended(self, stream: Stream, code: str) -> None:
+    def record_stream_end(self, stream: TableStreamProtocol, code: str) -> None:
         """Counts the end of a connection, by its reason code."""
         if stream.message is None:
             self.streams_in -= 1
@@ -442,12 +448,15 @@
 
     def _send(self, to: Address, message: Message, stream: bool) -> None:
         if stream:
-            if self.streams_out >= STREAMS_MOST:
+            if self.streams_out >= MAX_STREAMS:
                 self.counts["stream-held"] += 1
                 return
             self.streams_out += 1
             self.reactor.connectTCP(
-                *to, Way(self, message), timeout=STREAM_WAIT, bindAddress=(self.listen[0], 0)
+                *to,
+                TableStreamClientFactory(self, message),
+                timeout=STREAM_TIMEOUT,
+                bindAddress=(self.listen[0], 0),
             )
             return
         data = encode(message, self.key)
@@ -465,18 +474,18 @@
 
     # ---- time
 
-    def _turn(self) -> None:
+    def _process_output(self) -> None:
         """Sends and logs what there is, and sets the timer."""
         peer = self.peer
         if peer.discovery.list_requested:
             peer.discovery.list_requested = False
-            if self.listing is not None:
-                self.listing.ask()
+            if self.node_list_protocol is not None:
+                self.node_list_protocol.send_request()
         for send in peer.outbox.take_sends():
             self._send(send.to, send.message, send.stream)
         for event in peer.outbox.take_events():
             line: dict[str, object] = {"t": round(self.unix(), 3), "event": event.event, "code": event.code}
-            self.kept.append(line | event.fields)
+            self.recent_events.append(line | event.fields)
             self.log.event(event.event, event.code, **event.fields)
         if self.stopped:
             return
@@ -490,9 +499,9 @@
         try:
             self.peer.unix = int(self.unix() * 1e6)
             self.peer.wake(self.clock())
-        except Exception as trouble:
-            self.log.fault("peers-fault", trouble)
-        self._turn()
+        except Exception as error:
+            self.log.fault("peers-fault", error)
+        self._process_output()
 
     # ---- by hand
 
@@ -502,14 +511,14 @@
         if self.duty_delegate is None or len(words) not in (2, 3):
             return {"error": "this member has no duties" if self.duty_delegate is None else "expected a duty"}
         now = self.clock()
-        trouble = self.duty_delegate.release(words[1], words[2] if len(words) == 3 else "", now)
+        error = self.duty_delegate.release(words[1], words[2] if len(words) == 3 else "", now)
         self.peer.flush(self.duty_delegate.kind, now)
-        self._turn()
-        return {"error": trouble} if trouble else {"done": words[1]}
+        self._process_output()
+        return {"error": error} if error else {"done": words[1]}
 
     # ---- showing
 
-    def brief(self) -> dict[str, object]:
+    def build_summary(self) -> dict[str, object]:
         """What takes no longer to say of a thousand members than of three."""
         peer = self.peer
         return {
@@ -520,11 +529,11 @@
             "calls": self.share(),
         }
 
-    def snapshot(self) -> dict[str, object]:
+    def build_status(self) -> dict[str, object]:
         """All that this member holds: of itself, of each other member, and of the share, as JSON has it."""
         peer, now = self.peer, self.clock()
-        members = [self._shown(claim, now) for _, claim in sorted(peer.members.table.items())]
-        told: dict[str, object] = {
+        members = [self._member_status(claim, now) for _, claim in sorted(peer.members.table.items())]
+        status: dict[str, object] = {
             "name": peer.own.name,
             "life": peer.own.life.number,
             "stand": peer.reachability.connectivity.value,
@@ -539,7 +548,7 @@
             "counts": dict(self.counts),
         }
         if peer.holder is not None and peer.voter is not None and peer.terms is not None:
-            told["share"] = {
+            status["share"] = {
                 "calls": peer.share(now),
                 "why": peer.reason(now),
                 "in_hand": self.gate.in_flight(),
@@ -553,9 +562,9 @@
                 "turned_away": self.gate.rejected,
                 "lapsed": self.gate.lapsed,
             }
-        return told
+        return status
 
-    def _shown(self, claim: Claim, now: int) -> dict[str, object]:
+    def _member_status(self, claim: Claim, now: int) -> dict[str, object]:
         peer = self.peer
         own = claim.name == peer.own.name
         return {
--- a/limeridge/scale/hollow.py
+++ b/limeridge/scale/hollow.py
@@ -1,8 +1,9 @@
 """Hollow members: the program's own control code on real loopback sockets, without the path of requests.
 
-A hollow member is a Link (members, shares, duties) and the reports to service discovery, as in an instance,
-on sockets of its own. Many share a process and a reactor, which stands between them and the real one: it
-counts what goes over the sockets, drops what a cut stops, and lets a fleet's second take longer than one.
+A hollow member is a MemberService (members, shares, duties) and the reports to service discovery, as in an
+instance, on sockets of its own. Many share a process and a reactor, which stands between them and the real
+one: it counts what goes over the sockets, drops what a cut stops, and lets a fleet's second take longer than
+one.
 """
 
 # ruff: noqa: N802, N803 -- Twisted's own method and argument names
@@ -24,7 +25,7 @@
 from limeridge.configuration.tenants import TenantTable
 from limeridge.net.nodelist import EVERY as REPORT_EVERY
 from limeridge.net.nodelist import NodeList as Reports
-from limeridge.peers.link import Link, boot_time
+from limeridge.peers.link import MemberService, boot_time
 from limeridge.peers.messages import Offer, encode
 from limeridge.peers.setup import PeerSetup
 from limeridge.scale.layout import LIST_PORT, PEER_PORT, Fleet, Mode
@@ -234,7 +235,7 @@
 
 
 class HollowMember:
-    """One member: its Link and its reports to service discovery."""
+    """One member: its MemberService and its reports to service discovery."""
 
     def __init__(
         self, fleet: Fleet, number: int, settings: PeerSetup, reactor: HollowReactor, log: Log
@@ -242,7 +243,7 @@
         host = fleet.host(number)
         peers = replace(settings, listen=(host, PEER_PORT), zone=fleet.zone_name(number))
         self.reactor, self.host = reactor, host
-        self.link = Link(setup_of(fleet, number), peers, reactor, log, clock=reactor.clock)
+        self.link = MemberService(setup_of(fleet, number), peers, reactor, log, clock=reactor.clock)
         self.reports = Reports(fleet.name(number), fleet.list_host, LIST_PORT)
         self.report_port: Any = None
         self.report_timer: Any = None
--- a/limeridge/sim/world.py
+++ b/limeridge/sim/world.py
@@ -187,7 +187,7 @@
 
     def linked(self, fleet: Fleet, log: Log) -> Any:
         """The part of membership, on the clock of this machine."""
-        from limeridge.peers.link import Link
+        from limeridge.peers.link import MemberService
         from limeridge.peers.messages import derive_key
         from limeridge.peers.peer import Intervals
         from limeridge.peers.setup import PeerSetup
@@ -218,7 +218,7 @@
             True,
         )
         nonce = world.chance(f"nonce {self.number} {self.lives}").getrandbits(56)
-        return Link(
+        return MemberService(
             read("config", lambda _: [self.file]),
             peers,
             self.reactor,
