--- a/limeridge/peers/link.py
+++ b/limeridge/peers/link.py
@@ -1,9 +1,8 @@
-"""The sockets of a member: datagrams, tables over TCP, the read-only socket that shows what is held, the
-timer.
+"""Runs a member on real sockets: datagrams, table exchange over TCP, the status socket and the timer.
 
-It owns bytes, their bounds and their counts. It must never decide anything of members or shares, and a peer
-must never cost a request its time: what comes in is bounded a second, what is not ours is dropped at its tag,
-what goes out has no queue but the kernel's.
+This module enforces size and rate limits and counts traffic; it takes no decisions about members or shares.
+Peer traffic must not delay requests: received datagrams are rate limited, messages that fail authentication
+are dropped before they are decoded, and outgoing data is queued only in the kernel's socket buffers.
 """
 
 from __future__ import annotations
@@ -47,16 +46,17 @@
 from limeridge.peers.setup import PeerSetup
 
 MS = 1_000
-MAX_DATAGRAMS_PER_SECOND = 2_000  # datagrams taken a second; what is more is dropped, as a full socket would
-MAX_STREAMS = 16  # connections for tables at once, each way
-STREAM_TIMEOUT = 2.0  # seconds that one may last
-MAX_RECENT_EVENTS = 200  # for `limeridge peers events`
-LISTEN_RETRY_INTERVAL, LISTEN_RETRIES = 0.05, 100  # as for callers: a predecessor may still be dying
+MAX_DATAGRAMS_PER_SECOND = 2_000  # received; more are dropped, as with a full socket buffer
+MAX_STREAMS = 16  # concurrent connections for table exchange, in each direction
+STREAM_TIMEOUT = 2.0  # seconds
+MAX_RECENT_EVENTS = 200  # shown by `limeridge peers events`
+# The predecessor may not have released the port yet; the listener for callers retries in the same way.
+LISTEN_RETRY_INTERVAL, LISTEN_RETRIES = 0.05, 100  # seconds, count
 MAX_LINE_LENGTH = 256
 
 
 def boot_time() -> int:
-    """Microseconds on the clock that also runs while the process, or the machine, stands still."""
+    """Microseconds on a monotonic clock that also advances while the process or the machine is suspended."""
     clock = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
     return time.clock_gettime_ns(clock) // 1_000
 
@@ -74,12 +74,12 @@
         self.service.receive_datagram(data)
 
     def connectionRefused(self) -> None:
-        """Called by Twisted where a peer has no socket there: the failure detector finds out by itself."""
+        """Called by Twisted if nothing listens at a peer's address; left to the failure detector."""
         return
 
 
 class NodeListProtocol(DatagramProtocol):
-    """Service discovery, where its list can be read: it is told our address and asked who is there."""
+    """Registers this member's address with service discovery and requests the node list."""
 
     noisy = False
 
@@ -87,7 +87,7 @@
         self.service = service
 
     def send_request(self) -> None:
-        """Reports our own address and asks who is listed, in two datagrams; counts what could not be sent."""
+        """Registers our address and requests the node list, in two datagrams; counts send errors."""
         service, transport = self.service, cast(Any, self.transport)
         list_reader = service.peer.discovery.list_reader
         if transport is None or list_reader is None:
@@ -100,7 +100,7 @@
                 service.counts["list-unsent"] += 1
 
     def datagramReceived(self, data: bytes, addr: Any) -> None:
-        """Called by Twisted for each part of service discovery's answer; counts what is none."""
+        """Called by Twisted for each part of service discovery's answer; counts invalid datagrams."""
         words = data.decode("ascii", "replace").split(" ")
         if len(data) > MAX_DATAGRAM_BYTES or words[0] != "LISTED":
             self.service.counts["list-strange"] += 1
@@ -108,12 +108,12 @@
         self.service.receive_list(words[1:])
 
     def connectionRefused(self) -> None:
-        """Called by Twisted where nothing listens at service discovery's address; counted."""
+        """Called by Twisted if nothing listens at service discovery's address; counted."""
         self.service.counts["list-refused"] += 1
 
 
 class TableStreamProtocol(Int32StringReceiver):
-    """One exchange of tables."""
+    """One end of a connection for table exchange."""
 
     MAX_LENGTH = MAX_STREAM_BYTES
     transport: Any
@@ -124,7 +124,7 @@
         self.timer: Any = None
 
     def connectionMade(self) -> None:
-        """Called by Twisted: sends the message that this end was made for, if any."""
+        """Called by Twisted: starts the time-out and sends the message, if this end has one to send."""
         self.timer = self.service.reactor.callLater(STREAM_TIMEOUT, self.abort, "slow")
         if self.message is not None:
             self.send_encoded(encode(self.message, self.service.key))
@@ -133,11 +133,11 @@
                 self.transport.loseConnection()
 
     def send_encoded(self, data: bytes) -> None:
-        """Sends one message, its length ahead."""
+        """Sends one encoded message, prefixed with its length."""
         self.sendString(data)  # type: ignore[no-untyped-call]
 
     def stringReceived(self, data: bytes) -> None:
-        """Called by Twisted for each whole message: the first is answered, then the connection is closed."""
+        """Called by Twisted for each complete message: answers the first and closes the connection."""
         if self.code:
             return
         answer = self.service.receive_stream_message(data)
@@ -147,23 +147,23 @@
         self.transport.loseConnection()
 
     def lengthLimitExceeded(self, length: int) -> None:
-        """Called by Twisted where a message is announced that is longer than MAX_STREAM_BYTES."""
+        """Called by Twisted if the announced length exceeds MAX_STREAM_BYTES."""
         self.abort("too-long")
 
     def abort(self, code: str) -> None:
-        """Aborts the connection; `code` is the reason that is counted."""
+        """Aborts the connection; `code` is the reason to be counted."""
         self.code = self.code or code
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Called by Twisted at the end of the connection; counts why."""
+        """Called by Twisted at the end of the connection; counts the reason."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         self.service.record_stream_end(self, self.code or "broke")
 
 
 class TableStreamServerFactory(Factory):
-    """Connections that others open to us."""
+    """Accepts table exchange connections from other members."""
 
     noisy = False
 
@@ -171,7 +171,7 @@
         self.service = service
 
     def buildProtocol(self, addr: Any) -> TableStreamProtocol | None:
-        """Called by Twisted for a new connection; None, which closes it, where STREAMS_MOST are open."""
+        """Called by Twisted for a new connection; returns None, which closes it, if MAX_STREAMS are open."""
         if self.service.streams_in >= MAX_STREAMS:
             self.service.counts["stream-crowd"] += 1
             return None
@@ -180,7 +180,7 @@
 
 
 class TableStreamClientFactory(ClientFactory):
-    """A connection that we open to another, for one message."""
+    """Opens a table exchange connection to another member, to send one message."""
 
     noisy = False
 
@@ -188,18 +188,18 @@
         self.service, self.message = service, message
 
     def buildProtocol(self, addr: Any) -> TableStreamProtocol:
-        """Called by Twisted once the connection stands."""
+        """Called by Twisted once the connection is established."""
         return TableStreamProtocol(self.service, self.message)
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
-        """Called by Twisted where the other could not be reached; counted."""
+        """Called by Twisted if the connection failed; counted."""
         self.service.streams_out -= 1
         self.service.counts["stream-unreached"] += 1
 
 
 class StatusProtocol(LineReceiver):
-    """One question on the member's socket (`show`, `brief`, `duties`, `events`), or a duty given up by
-    hand, its only command; answered by one line."""
+    """Answers one line on the status socket: a query (`show`, `brief`, `duties`, `events`), or the release or
+    move of a duty by an operator."""
 
     delimiter = b"\n"
     MAX_LENGTH = MAX_LINE_LENGTH
@@ -209,7 +209,7 @@
         self.service = service
 
     def lineReceived(self, line: bytes) -> None:
-        """Called by Twisted for the question; answers it as one line of JSON and closes the connection."""
+        """Called by Twisted for each line; answers with one line of JSON and closes the connection."""
         command = line.strip()
         if command == b"show":
             result: object = self.service.build_status()
@@ -230,7 +230,7 @@
 
 
 class StatusFactory(Factory):
-    """Connections to the socket that shows what is held."""
+    """Accepts connections on the status socket."""
 
     noisy = False
 
@@ -243,7 +243,8 @@
 
 
 class MemberService:
-    """A member on sockets. `setup` is the instance's own configuration, `peers` the file of membership."""
+    """A member with its sockets. `setup` is the instance's own configuration, `peers` its membership
+    settings."""
 
     def __init__(
         self,
@@ -255,11 +256,11 @@
         unix: Callable[[], float] = time.time,
         draw_nonce: Callable[[], int] | None = None,
     ) -> None:
-        """Raises Unusable where the two don't go together."""
+        """Raises Unusable if the two are inconsistent."""
         self.setup, self.reactor, self.log, self.clock, self.key = setup, reactor, log, clock, peers.key
         self.unix = unix
         self.show = peers.show
-        # Nonces must differ between processes that were given the same seed.
+        # Nonces must differ between processes that are configured with the same seed.
         nonce = draw_nonce() if draw_nonce is not None else int.from_bytes(os.urandom(7), "big")
         rng = random.Random(setup.seed ^ nonce)
         host, port = peers.listen
@@ -296,7 +297,7 @@
         if peers.longest_configured and peers.terms.longest < longest:
             raise Unusable(
                 f"peers: shares.longest_ms: expected {longest / MS:g} or more, the longest "
-                "deadline and what the ledger keeps after it"
+                "deadline plus the time that the ledger continues after it"
             )
         return linger, replace(peers.terms, longest=max(peers.terms.longest, longest))
 
@@ -307,10 +308,10 @@
         own, now = self.peer.own, self.clock()
         declared, name = {}, f"list-read {own.zone}".strip()
         if settings.list_read:
-            meanwhile = "each reads for itself, seldom"
+            meanwhile = "each member reads the list itself, at long intervals"
             declared[name] = Declared(name, settings.terms, meanwhile=meanwhile)
         if settings.allot:
-            declared[ALLOT] = Declared(ALLOT, settings.terms, meanwhile="floors alone")
+            declared[ALLOT] = Declared(ALLOT, settings.terms, meanwhile="floors only")
         duties = Duties(
             own.name, own.life.nonce, settings.electorate, declared, settings.waits, rng, now, settings.terms
         )
@@ -328,10 +329,10 @@
         self.peer.attach(self.duty_delegate, now)
         return duties
 
-    # ---- what the instance sees
+    # ---- interface to the instance
 
     def start(self) -> None:
-        """Opens the sockets and begins to take part."""
+        """Opens the sockets and starts to take part in the membership."""
         self._listen(LISTEN_RETRIES)
         if self.show:
             self._listen_for_status()
@@ -349,11 +350,11 @@
         self._process_output()
 
     def share(self) -> int | None:
-        """Calls in hand that this instance may have now; None where the limit is not shared out."""
+        """Concurrent calls that this instance may have now; None if the limit is not shared."""
         return self.peer.share(self.clock())
 
     def leave(self) -> None:
-        """Tells the others that this instance leaves; it goes on answering until `stop`."""
+        """Announces that this instance leaves; it continues to answer until `stop`."""
         self.peer.leave(self.clock())
         self._process_output()
 
@@ -390,37 +391,37 @@
         path = Path(self.show.replace("%n", self.setup.name))
         try:
             if path.is_socket():
-                path.unlink()  # of an earlier life
+                path.unlink()  # left by an earlier process
             self.ports.append(self.reactor.listenUNIX(str(path), StatusFactory(self), mode=0o600))
         except (OSError, CannotListenError) as error:
             self.log.event("peers", "show-unusable", why=str(error))
 
     def receive_datagram(self, data: bytes) -> None:
-        """Takes a datagram; what is not of this fleet, or beyond IN_MOST a second, is counted and dropped."""
+        """Handles a datagram; counts and drops it if it is invalid or exceeds the rate limit."""
         second = self.clock() // 1_000_000
         if second != self.current_second:
             self.current_second, self.received_this_second = second, 0
         message = self._decode(data)
         if message is None:
             return
-        self.received_this_second += 1  # what is not ours does not eat up the room of what is
+        self.received_this_second += 1  # invalid datagrams do not count towards the rate limit
         if self.received_this_second > MAX_DATAGRAMS_PER_SECOND:
             self.counts["over-rate"] += 1
             return
         self._dispatch(message)
 
     def receive_list(self, words: list[str]) -> None:
-        """Takes a part of service discovery's answer, split at its blanks, without its first word."""
+        """Handles one part of service discovery's answer, split at blanks, without the leading keyword."""
         self.peer.discovery.receive_list(words)
         self._process_output()
 
     def receive_stream_message(self, data: bytes) -> Table | None:
-        """Takes a message that came over TCP; the table that goes back, if any."""
+        """Handles a message received over TCP; returns the table to be sent back, if any."""
         message = self._decode(data)
         return None if message is None else self._dispatch(message)
 
     def _decode(self, data: bytes) -> Message | None:
-        """None for what is not ours, counted by its code."""
+        """Decodes a message; counts it by its reason code and returns None if it is invalid."""
         try:
             return decode(data, self.key)
         except InvalidMessageError as invalid:
@@ -433,13 +434,13 @@
         try:
             self.peer.unix = int(self.unix() * 1e6)
             answer = self.peer.receive(message, self.clock())
-        except Exception as error:  # a defect in what a member made of it: others' words still count
+        except Exception as error:  # a defect in handling one message must not stop the others
             self.log.fault("peers-fault", error)
         self._process_output()
         return answer
 
     def record_stream_end(self, stream: TableStreamProtocol, code: str) -> None:
-        """Counts the end of a connection, by its reason code."""
+        """Counts the end of a connection under its reason code."""
         if stream.message is None:
             self.streams_in -= 1
         else:
@@ -475,7 +476,7 @@
     # ---- time
 
     def _process_output(self) -> None:
-        """Sends and logs what there is, and sets the timer."""
+        """Sends pending messages, logs pending events and sets the timer."""
         peer = self.peer
         if peer.discovery.list_requested:
             peer.discovery.list_requested = False
@@ -503,11 +504,11 @@
             self.log.fault("peers-fault", error)
         self._process_output()
 
-    # ---- by hand
+    # ---- operator commands
 
     def hand_over(self, words: list[str]) -> dict[str, object]:
-        """`release `, duty; or `move `, duty, member: parted by tabs, as duties have blanks in their
-        names."""
+        """Executes `release `, duty or `move `, duty, member; tabs separate the words, since the names of
+        duties contain blanks."""
         if self.duty_delegate is None or len(words) not in (2, 3):
             return {"error": "this member has no duties" if self.duty_delegate is None else "expected a duty"}
         now = self.clock()
@@ -516,10 +517,10 @@
         self._process_output()
         return {"error": error} if error else {"done": words[1]}
 
-    # ---- showing
+    # ---- status
 
     def build_summary(self) -> dict[str, object]:
-        """What takes no longer to say of a thousand members than of three."""
+        """A short status whose size does not depend on the number of members."""
         peer = self.peer
         return {
             "name": peer.own.name,
@@ -530,7 +531,7 @@
         }
 
     def build_status(self) -> dict[str, object]:
-        """All that this member holds: of itself, of each other member, and of the share, as JSON has it."""
+        """The full status as a JSON object: this member, every member in the table, and the share."""
         peer, now = self.peer, self.clock()
         members = [self._member_status(claim, now) for _, claim in sorted(peer.members.table.items())]
         status: dict[str, object] = {
