--- a/limeridge/peers/peer.py
+++ b/limeridge/peers/peer.py
@@ -174,7 +174,7 @@
             self.outbox.send(claim, Ping(0, self.own, claim.name, self.members.digest))
 
     def _remove_member(self, name: str) -> None:
-        self.reachability.seen.pop(name, None)
+        self.reachability.contacts.pop(name, None)
         self.observer.remove_member(name)
         self.tables.remove_member(name)
 
@@ -212,10 +212,10 @@
     def _apply_gossip(self, message: Ping | Ack, now: int) -> None:
         for claim in message.news:
             self.updates.merge(claim, now)
-        for accusal in message.accusals:
-            self.dissemination.add_accusation(accusal)
-        seen = self.reachability.contact(message.own.name)
-        seen.misses, seen.misses_reported_at = frozenset(message.misses), now
+        for accusation in message.accusals:
+            self.dissemination.add_accusation(accusation)
+        times = self.reachability.contact(message.own.name)
+        times.misses, times.misses_reported_at = frozenset(message.misses), now
         self.tables.compare_digest(message, now)
 
     def _receive_share_message(self, message: Renew | Support | Offer, now: int) -> None:
--- a/limeridge/peers/prober.py
+++ b/limeridge/peers/prober.py
@@ -56,11 +56,11 @@
             return
         direct = ack.of == ack.own.name
         if self.detector.handle_ack(ack.seq, ack.of, now):
-            seen = self.reachability.contact(ack.of)
+            times = self.reachability.contact(ack.of)
             if direct:
-                seen.last_direct_ack = now
+                times.last_direct_ack = now
             else:
-                seen.last_indirect_ack = now
+                times.last_indirect_ack = now
 
     def handle_nack(self, nack: Nack, now: int) -> None:
         """Handles a helper's report that its probe was not answered either."""
--- a/limeridge/peers/reachability.py
+++ b/limeridge/peers/reachability.py
@@ -52,48 +52,48 @@
 
     freshness: int
     recovery_period: int
-    seen: dict[str, ContactTimes] = field(default_factory=dict)
+    contacts: dict[str, ContactTimes] = field(default_factory=dict)
     connectivity: Connectivity = Connectivity.ISOLATED
     connectivity_since: int = 0
 
     def contact(self, name: str) -> ContactTimes:
         """The contact times of a member, which are created empty on first use."""
-        return self.seen.setdefault(name, ContactTimes())
+        return self.contacts.setdefault(name, ContactTimes())
 
     def grade(self, claim: Claim, now: int) -> Grade:
         """Grades how well the member is reached from here."""
-        seen = self.seen.get(claim.name) or ContactTimes()
+        times = self.contacts.get(claim.name) or ContactTimes()
         if claim.state >= State.DEAD:
             return Grade.GONE
         # The last direct probe failed and no later one was answered.
-        cut = seen.last_direct_timeout > seen.last_direct_ack
+        cut = times.last_direct_timeout > times.last_direct_ack
         if (
             cut
-            and seen.last_received > seen.last_direct_timeout
-            and now - seen.last_received < self.freshness
+            and times.last_received > times.last_direct_timeout
+            and now - times.last_received < self.freshness
         ):
             return Grade.DEAF
-        if cut and seen.last_indirect_ack >= 0 and now - seen.last_indirect_ack < self.freshness:
+        if cut and times.last_indirect_ack >= 0 and now - times.last_indirect_ack < self.freshness:
             return Grade.CUT_OFF
         if claim.state is State.SUSPECT:
             return Grade.SUSPECT
-        if seen.returned_at >= 0 and now - seen.returned_at < self.recovery_period:
+        if times.returned_at >= 0 and now - times.returned_at < self.recovery_period:
             return Grade.BACK
         return Grade.ALIVE
 
     def members_not_answering(self, names: Iterable[str]) -> Iterator[str]:
         """Those of `names` that did not answer the last direct probe."""
         for name in names:
-            seen = self.seen.get(name)
-            if seen is not None and seen.last_direct_timeout > seen.last_direct_ack:
+            times = self.contacts.get(name)
+            if times is not None and times.last_direct_timeout > times.last_direct_ack:
                 yield name
 
     def members_missing_our_acks(self, own: str, now: int) -> list[str]:
         """Names of members that report that acks from `own` do not reach them."""
         return sorted(
             name
-            for name, seen in self.seen.items()
-            if own in seen.misses and now - seen.misses_reported_at < self.freshness
+            for name, times in self.contacts.items()
+            if own in times.misses and now - times.misses_reported_at < self.freshness
         )
 
     def update_connectivity(self, present: int, known: int, last_contact_at: int, now: int) -> Connectivity:
--- a/limeridge/peers/updates.py
+++ b/limeridge/peers/updates.py
@@ -49,8 +49,8 @@
         if old is not None and old.state >= State.DEAD and new.state is State.ALIVE:
             self.reachability.contact(new.name).returned_at = now
         if old is not None and old.life != new.life:
-            seen = self.reachability.contact(new.name)
-            seen.last_direct_ack = seen.last_indirect_ack = seen.last_direct_timeout = -1
+            times = self.reachability.contact(new.name)
+            times.last_direct_ack = times.last_indirect_ack = times.last_direct_timeout = -1
 
     def _refute(self, claim: Claim, now: int) -> None:
         """Refutes a wrong claim about this member."""
