--- a/limeridge/peers/__init__.py
+++ b/limeridge/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Instances that know each other: membership by gossip, and shares of the records service's limit."""
+"""Gossip membership of instances, and their shares of the records service's concurrency limit."""
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Membership and shares: the decisions by seeded histories, the file of settings, the sockets of a member."""
+"""Membership and shares: decisions on random histories, message encoding, simulated fleets and settings."""
 
 import os
 import random
@@ -80,7 +80,7 @@
         [new, Claim("a", Life(1, 9), 5, State.DEAD), Claim("a", Life(1, 9), 9, State.LEFT)]
     ):
         assert merged_table(order)["a"] == new
-    # Of one life: whoever left has left, whatever is said of it after.
+    # Within one life LEFT is final, whatever the incarnation of later claims.
     left = Claim("a", Life(2, 7), 0, State.LEFT)
     assert merged_table([left, replace(new, incarnation=9)])["a"] == left
 
@@ -90,12 +90,12 @@
     assert members.reconcile_own_claim(replace(OWN, state=State.SUSPECT, incarnation=3), 0) is not None
     assert (members.own.incarnation, members.own.state) == (4, State.ALIVE)
     assert members.reconcile_own_claim(replace(OWN, state=State.SUSPECT, incarnation=3), 0) is None, (
-        "refuted already"
+        "already refuted"
     )
-    # Unix time stepped back: an earlier life seems newer. It had our address, so it is over.
+    # After a backward clock step an earlier life looks newer. It had our address, so it must be over.
     members.reconcile_own_claim(replace(OWN, life=Life(500, 8)), 0)
     assert members.own.life == Life(501, 1)
-    # An older one changes nothing.
+    # An older life changes nothing.
     assert members.reconcile_own_claim(replace(OWN, life=Life(3, 3)), 0) is None
 
 
@@ -104,7 +104,7 @@
     one.reconcile_own_claim(other.own, 0)
     other.reconcile_own_claim(one.own, 0)
     assert (one.must_yield_name, other.must_yield_name) == (True, False)
-    # Once somebody holds the better one gone, the name is free again, and claimed above it.
+    # Once the preferred process is reported dead, the name is free, and our life is raised above it.
     one.reconcile_own_claim(replace(other.own, state=State.DEAD), 0)
     assert not one.must_yield_name
     assert one.own.life > other.own.life
@@ -121,8 +121,8 @@
             sent[claim.name] = sent.get(claim.name, 0) + 1
     rest = {name: count for name, count in sent.items() if name != "m3"}
     assert set(rest) == {"own", *(f"m{number}" for number in range(40) if number != 3)}
-    assert set(rest.values()) == {members.transmission_limit()}, "each as often as any other"
-    assert sent["m3"] == 2_000, "what is asked for goes each time"
+    assert set(rest.values()) == {members.transmission_limit()}, "all updates are sent equally often"
+    assert sent["m3"] == 2_000, "a claim with priority is always sent"
     assert [claim.name for claim in members.remove_expired(200, 100)] == ["m3"]
     assert members.digest == Members(OWN).digest ^ _digest(members)
 
@@ -141,7 +141,7 @@
 
 
 class DetectorHarness:
-    """A detector among `count` others, with its actions."""
+    """A failure detector in a fleet with `count` other members, whose actions are carried out in memory."""
 
     def __init__(self, count: int = 8) -> None:
         self.members = Members(OWN)
@@ -191,7 +191,7 @@
     actions = harness.run_until(started + 60 * SECOND, lambda probe: probe.target.name != "m5")
     deaths = [action for action in actions if isinstance(action, probing.DeclareDead)]
     assert [action.target.name for action in deaths] == ["m5"]
-    assert harness.detector.health_score == 0, "helpers that answered no speak for us"
+    assert harness.detector.health_score == 0, "nacks from helpers show that the local instance is healthy"
 
 
 def test_confirmations_shorten_a_suspicion_and_a_refutation_ends_it() -> None:
@@ -204,7 +204,9 @@
     shortest, longest = harness.detector.suspicion_bounds()
     assert unconfirmed_deadline == longest
     assert harness.detector.suspicions["m2"].deadline() == shortest
-    assert not harness.detector.add_accuser("m2", Life(1, 1), 1, "u"), "of another incarnation"
+    assert not harness.detector.add_accuser("m2", Life(1, 1), 1, "u"), (
+        "the suspicion is of another incarnation"
+    )
     harness.merge(replace(suspect, state=State.ALIVE, incarnation=1))
     assert "m2" not in harness.detector.suspicions
 
@@ -214,15 +216,15 @@
     harness.run_until(3 * SECOND)
     harness.merge(Claim("m2", Life(1, 1), 0, State.SUSPECT))
     deadline_before = harness.detector.suspicions["m2"].deadline()
-    harness.now += 300 * SECOND  # paused
+    harness.now += 300 * SECOND  # the process was suspended
     actions = harness.detector.wake(harness.now)
     assert harness.detector.stalls == 1
     assert harness.detector.health_score == harness.settings.max_health_score
     assert not [action for action in actions if isinstance(action, probing.DeclareDead)], (
-        "the suspicion did not go on meanwhile"
+        "the suspicion must not expire during the pause"
     )
     assert harness.detector.suspicions["m2"].deadline() >= deadline_before + 299 * SECOND
-    # Nobody answers: it accuses nobody before it has heard somebody again.
+    # While nobody answers, it declares nobody dead.
     actions = harness.run_until(harness.now + 30 * SECOND, lambda probe: False, nacks=False)
     assert not [action for action in actions if isinstance(action, probing.DeclareDead)]
 
@@ -242,7 +244,7 @@
     times.returned_at = 3 * SECOND
     assert reachability.grade(claim, 4 * SECOND) is Grade.BACK
     assert reachability.update_connectivity(1, 1, 0, SECOND) is Connectivity.MAJORITY, (
-        "there never was anybody else"
+        "no other member has ever been known"
     )
     assert reachability.update_connectivity(4, 6, 0, SECOND) is Connectivity.MAJORITY
     assert reachability.update_connectivity(3, 6, 0, 2 * SECOND) is Connectivity.MINORITY
@@ -271,17 +273,19 @@
 def test_voter_reduces_caps_at_once_and_raises_them_after_the_hold_time() -> None:
     terms = Terms(limit=40, capacity=3, floor_share=0.0, lease=SECOND, longest=SECOND)
     voter = Voter(terms, 0)
-    assert voter.support("a", terms.hold - 1) is None, "silent: an earlier life may have promised"
+    assert voter.support("a", terms.hold - 1) is None, (
+        "silent, since an earlier life may have supported a view"
+    )
     now = terms.hold
     voter.accept(view(1, "a", "b"))
     assert voter.support("a", now) == ((1, "a", 1), 20)
-    assert not voter.accept(view(1, "a", by="")), "never back"
-    # One more: the others shrink at once, the newcomer waits until nobody can still use the old part.
+    assert not voter.accept(view(1, "a", by="")), "an older view is never accepted"
+    # A member joins: the others' caps fall at once, its own rises once no old allocation can still be in use.
     voter.accept(view(2, "a", "b", "c"))
     assert voter.support("a", now + 10)[1] in (13, 14)  # type: ignore[index]
     assert voter.support("c", now + 10)[1] == 0  # type: ignore[index]
     assert voter.support("c", now + terms.hold + 1)[1] in (13, 14)  # type: ignore[index]
-    # One less: who stays grows only then.
+    # A member leaves: the caps of the others rise only after the hold time.
     now += terms.hold + 10
     voter.accept(view(3, "a", "b"))
     assert voter.support("a", now)[1] in (13, 14)  # type: ignore[index]
@@ -291,17 +295,17 @@
 def test_holder_needs_a_quorum_under_one_epoch_within_the_lease() -> None:
     terms = Terms(limit=60, capacity=5, doubles=0, floor_share=0.5, lease=SECOND)
     holder = Holder(terms, 0, startup_delay=100)
-    assert holder.share(50) == 0, "what an earlier life left at the ledger"
+    assert holder.share(50) == 0, "calls of an earlier life may still be in progress at the ledger"
     assert (holder.share(100), holder.reason(100)) == (6, "few-voters")
     one, two = (1, "a", 1), (2, "a", 1)
     for name, epoch, cap in (("a", two, 6), ("b", two, 4), ("c", one, 9)):
         holder.record_support(name, epoch, cap, 200)
     assert (holder.share(300), holder.reason(300)) == (6, "voters-differ")
     holder.record_support("c", two, 5, 400)
-    assert (holder.share(500), holder.reason(500)) == (10, "dealt"), "the least of the caps"
-    assert holder.share(200 + SECOND) == 6, "the lease of two of them is over, counted from the asking"
+    assert (holder.share(500), holder.reason(500)) == (10, "dealt"), "the minimum of the caps"
+    assert holder.share(200 + SECOND) == 6, "the lease of two answers has expired, counted from the request"
     holder.record_support("c", one, 9, 300)
-    assert holder.supports["c"].epoch == two, "an answer to an older asking comes late"
+    assert holder.supports["c"].epoch == two, "a late answer to an older request is ignored"
 
 
 def test_one_voter_proposes_views_of_stable_members_and_flapping_delays_them() -> None:
@@ -322,9 +326,9 @@
     without_quorum = ViewProposer(terms, name, 1)
     without_quorum.next_view(claims, View(NO_EPOCH, frozenset()), NO_EPOCH, 1, 0)
     assert without_quorum.next_view(claims, View(NO_EPOCH, frozenset()), NO_EPOCH, 1, SECOND) is None, (
-        "with few, none is made"
+        "no view is proposed without a quorum"
     )
-    # One that comes and goes: each return waits twice as long; its going never waits longer.
+    # A flapping member: the wait doubles with each return and stays the same for each departure.
     proposer, now, current, waits = proposers[name], 2 * SECOND, new, []
     other = next(claim for claim in claims if claim.name != name)
     for _ in range(4):
@@ -341,8 +345,8 @@
 @settings(derandomize=True, deadline=None, max_examples=150)
 @given(st.integers(0, 1 << 30))
 def test_sum_of_calls_never_exceeds_the_limit(seed: int) -> None:
-    """Holders and voters with no members behind them: messages come late, out of order or not at all, views
-    are offered by anybody in any order, processes restart and clocks drift."""
+    """Simulates voters and holders without membership: messages are delayed, reordered or lost, any process
+    proposes views in any order, processes restart and clocks drift."""
     rng = random.Random(seed)
     count = rng.randint(1, 7)
     terms = Terms(
@@ -496,7 +500,7 @@
         assert peer.share(now) is not None
 
 
-# ---- members by the node list
+# ---- discovery by the node list
 
 
 def test_node_list_reader_backs_off_within_its_budget() -> None:
@@ -506,9 +510,9 @@
     assert request_times[0] < 1_000
     for start in range(0, 400_000, 10_000):
         within = [at for at in request_times if start <= at < start + 100_000]
-        assert len(within) <= 16, "the budget, and what was saved up of it"
+        assert len(within) <= 16, "the budget plus the saved tokens"
     assert max(b - a for a, b in pairwise(request_times)) <= 64_000
-    # One that knows others asks seldom, and many readers not at one time.
+    # A reader that knows others requests the list rarely, and readers do not start in step.
     connected = NodeListReader(policy, random.Random(4), 0)
     regular_times = [now for now in range(1_000_000) if connected.should_request(5, now)]
     assert 6 <= len(regular_times) <= 21
@@ -525,7 +529,7 @@
         [],
         ["1"],
         ["x", "0", "1", "10.0.0.2:7"],
-        ["99", "0", "1", "10.0.0.2:7"],  # of another asking
+        ["99", "0", "1", "10.0.0.2:7"],  # answers another request
         [str(reader.request_id), "5", "3", "10.0.0.2:7"],
         [str(reader.request_id), "0", "9999", "10.0.0.2:7"],
     ):
@@ -534,13 +538,13 @@
     number = str(reader.request_id)
     reader.receive([number, "1", "3", "10.0.0.4:7", "nowhere:7", "10.0.0.5:0", "10.0.0.6"], own)
     reader.receive([number, "0", "3", "10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7"], own)
-    assert reader.addresses == [("10.0.0.2", 7), ("10.0.0.3", 7), ("10.0.0.4", 7)], "one part never came"
+    assert reader.addresses == [("10.0.0.2", 7), ("10.0.0.3", 7), ("10.0.0.4", 7)], "one part was lost"
     assert set(reader.draw_candidates({("10.0.0.2", 7)})) == {("10.0.0.3", 7), ("10.0.0.4", 7)}
     reader.receive([number, "2", "3", *(f"10.0.1.{n}:7" for n in range(250))], own)
-    assert len(reader.draw_candidates(set())) == 3, "some at a time"
+    assert len(reader.draw_candidates(set())) == 3, "a few at a time"
 
 
-# ---- many members on virtual time
+# ---- simulated fleets
 
 
 @pytest.mark.parametrize("first", [0, 10])
@@ -557,7 +561,9 @@
     verdict = virtual.run(scenario.draw(name, 1))
     assert verdict.broke == []
     assert verdict.most_in_hand <= verdict.limit
-    assert verdict.most_in_hand > 0.8 * verdict.limit, "the limit was not come near: nothing is shown"
+    assert verdict.most_in_hand > 0.8 * verdict.limit, (
+        "usage stayed far below the limit, so the test shows nothing"
+    )
 
 
 @pytest.mark.parametrize(
@@ -575,22 +581,22 @@
 def test_injected_defect_is_detected(
     defect: str, trial: str, rule: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Each put in by itself; the trial that is there for it must break, by the rule that is there for it."""
-    if defect == "hold":  # a voter forgets what it allowed at once
+    """Injects one defect; the trial meant to detect it must fail by the rule meant to detect it."""
+    if defect == "hold":  # a voter immediately forgets the views that it supported
         monkeypatch.setattr(Terms, "hold", property(lambda self: 1))
-    elif defect == "lease":  # a holder goes on with answers that are over
+    elif defect == "lease":  # a holder uses answers whose lease has expired
         monkeypatch.setattr(Holder, "_current", lambda self, now: list(self.supports.values()))
-    elif defect == "quorum":  # one voter is enough
+    elif defect == "quorum":  # a single voter is a quorum
         monkeypatch.setattr(Terms, "quorum", property(lambda self: 1))
-    elif defect == "silent":  # a voter that has started answers as if it knew
+    elif defect == "silent":  # a restarted voter answers at once
         monkeypatch.setattr(Voter, "is_silent", lambda self, now: False)
-    elif defect == "older":  # lives are not told apart
+    elif defect == "older":  # claims are not ordered by life
         monkeypatch.setattr(
             Claim, "rank", property(lambda self: (Life(0, 0), self.incarnation, int(self.state)))
         )
-    elif defect == "refute":  # a suspicion of ourselves is not answered
+    elif defect == "refute":  # a suspicion of the own instance is not refuted
         monkeypatch.setattr(Members, "reconcile_own_claim", lambda self, claim, now: None)
-    else:  # the dead are never tried again
+    else:  # dead members are never contacted again
         monkeypatch.setattr(Discovery, "_reconnect", lambda self: None)
     broke = virtual.run(scenario.draw(trial, 1)).broke
     assert broke and broke[0].startswith(rule), broke
