--- a/limeridge/peers/setup.py
+++ b/limeridge/peers/setup.py
@@ -56,7 +56,7 @@
 def read(path: str) -> PeerSetup:
     """Reads the settings file. Raises Unusable with file, line, column and field."""
     message = load(path, pb.Peers(), check)
-    return setup_of(message)
+    return build_setup(message)
 
 
 def check(message: pb.Peers, checked: Checked) -> None:
@@ -197,7 +197,7 @@
     )
 
 
-def setup_of(message: pb.Peers) -> PeerSetup:
+def build_setup(message: pb.Peers) -> PeerSetup:
     """Converts a validated message to settings, with defaults for absent fields. Raises OSError if the key
     file has been removed since."""
     interval = int((message.interval_ms or 1_000) * MS)
