--- a/limeridge/__main__.py
+++ b/limeridge/__main__.py
@@ -54,10 +54,10 @@
     if path is None:
         return None
     try:
-        from limeridge.peers.join import joining
+        from limeridge.peers.join import member_factory
     except ImportError as error:
         raise ConfigError(f"--peers: expected the extra `peers` to be installed: {error}") from None
-    return joining(path)
+    return member_factory(path)
 
 
 if __name__ == "__main__":
--- a/limeridge/peers/discovery.py
+++ b/limeridge/peers/discovery.py
@@ -1,7 +1,7 @@
-"""How members are found: by the seeds of the settings, by service discovery, and again after a cut.
+"""Finds members through the configured seeds and the node list, and reconnects after a network partition.
 
-It owns when each of these is tried. It must never take an address for a member: whoever answers there says
-who it is.
+This module decides when each of these is tried. An address found is not taken for a member until a process
+there has answered with its own claim.
 """
 
 from __future__ import annotations
@@ -10,87 +10,88 @@
 from collections.abc import Callable, Sequence
 
 from limeridge.peers.dissemination import Dissemination
-from limeridge.peers.habits import Habits
+from limeridge.peers.intervals import Intervals
 from limeridge.peers.members import Address, Members, State
 from limeridge.peers.outbox import Outbox
-from limeridge.peers.seeds import Seeker
+from limeridge.peers.seeds import NodeListReader
 from limeridge.peers.table_exchange import TableExchange
 
-MISSING_SEED_CHANCE = 0.25  # that one who knows others tries a seed that is none of them
+MISSING_SEED_PROBABILITY = 0.25  # of contacting a seed that is not a known member while others are known
 
 
 class Discovery:
-    """Tries seeds, listed addresses and members that are held dead."""
+    """Contacts seeds, addresses from the node list and dead members."""
 
     def __init__(
         self,
         members: Members,
         seeds: Sequence[Address],
-        seeker: Seeker | None,
+        list_reader: NodeListReader | None,
         tables: TableExchange,
         dissemination: Dissemination,
-        habits: Habits,
-        chance: random.Random,
+        intervals: Intervals,
+        rng: random.Random,
         outbox: Outbox,
         now: int,
     ) -> None:
-        """`seeker`: decides when service discovery is asked; None where it is not to be asked."""
-        self.members, self.seeker, self.tables = members, seeker, tables
+        """`list_reader` decides when the node list is requested; None if it is not used."""
+        self.members, self.list_reader, self.tables = members, list_reader, tables
         self.seeds = [seed for seed in seeds if seed != members.own.address]
-        self.dissemination, self.habits, self.chance = dissemination, habits, chance
+        self.dissemination, self.intervals, self.rng = dissemination, intervals, rng
         self.outbox = outbox
-        self.reads_list: Callable[[int], bool] | None = None  # whether this member reads it for others too
-        self.list_wanted = False  # until whoever drives the member has asked for the list
-        self.next_reach_out = now
+        # Whether this member may read the list at a given time; None: always.
+        self.may_read_list: Callable[[int], bool] | None = None
+        self.list_requested = False  # set here, cleared by the driver once it has sent the request
+        self.next_reconnect_at = now
 
     def next_at(self) -> int:
-        """When something is to be tried next, microseconds."""
-        if self.seeker is None:
-            return self.next_reach_out
-        return min(self.next_reach_out, self.seeker.next_at)
+        """When `wake` is due next, microseconds."""
+        if self.list_reader is None:
+            return self.next_reconnect_at
+        return min(self.next_reconnect_at, self.list_reader.next_at)
 
     def wake(self, now: int) -> None:
-        """To be called at `next_at` or soon after."""
-        if self.seeker is not None and now >= self.seeker.next_at:
-            self._seek(self.seeker, now)
-        if now >= self.next_reach_out:
-            self.next_reach_out = now + self.habits.reach_out
-            self._reach_out()
-
-    def listed(self, words: Sequence[str]) -> None:
-        """Takes a part of service discovery's answer; `words` as seeds.py has them."""
-        if self.seeker is not None and not self.members.leaving:
-            self.seeker.heard(words, self.members.own.address)
-            self._try_listed(self.seeker)
-
-    def _reach_out(self) -> None:
-        """To one who is held dead, and to a seed while nobody is known: the way back after a cut."""
+        """Runs what is due. Call it at `next_at` or soon after."""
+        if self.list_reader is not None and now >= self.list_reader.next_at:
+            self._request_list(self.list_reader, now)
+        if now >= self.next_reconnect_at:
+            self.next_reconnect_at = now + self.intervals.reconnect
+            self._reconnect()
+
+    def receive_list(self, words: Sequence[str]) -> None:
+        """Handles one part of the node list; see `NodeListReader.receive` for the format of `words`."""
+        if self.list_reader is not None and not self.members.leaving:
+            self.list_reader.receive(words, self.members.own.address)
+            self._contact_listed(self.list_reader)
+
+    def _reconnect(self) -> None:
+        """Pings a dead member and contacts a missing seed, so that partitions heal."""
         dead = sorted(self.members.others(State.DEAD), key=lambda claim: claim.name)
         if dead:
-            target = self.chance.choice(dead)
-            self.outbox.send(target, self.dissemination.ping(target, 0))
+            target = self.rng.choice(dead)
+            self.outbox.send(target, self.dissemination.build_ping(target, 0))
         known = self._known()
         missing = [seed for seed in self.seeds if seed not in known]
-        if missing and (not self._others() or self.chance.random() < MISSING_SEED_CHANCE):
-            self.tables.ask(self.chance.choice(missing))
+        if missing and (not self._others() or self.rng.random() < MISSING_SEED_PROBABILITY):
+            self.tables.exchange_with(self.rng.choice(missing))
 
-    def _seek(self, seeker: Seeker, now: int) -> None:
-        """Those that the list named last time are tried, then it is asked again."""
-        self._try_listed(seeker)
+    def _request_list(self, list_reader: NodeListReader, now: int) -> None:
+        """Contacts addresses from the last list, then decides whether to request the list again."""
+        self._contact_listed(list_reader)
         others = self._others()
-        # One reads for all of its zone; whoever knows nobody reads for itself.
-        if others and self.reads_list is not None and not self.reads_list(now):
-            seeker.next_at = now + self.habits.sync
-        elif seeker.ask(others, now):
-            self.list_wanted = True
+        # One member reads the list for its whole zone; a member that knows no others reads it itself.
+        if others and self.may_read_list is not None and not self.may_read_list(now):
+            list_reader.next_at = now + self.intervals.sync
+        elif list_reader.should_request(others, now):
+            self.list_requested = True
 
-    def _try_listed(self, seeker: Seeker) -> None:
-        for found in seeker.take(self._known()):
-            self.tables.ask(found)
+    def _contact_listed(self, list_reader: NodeListReader) -> None:
+        for address in list_reader.draw_candidates(self._known()):
+            self.tables.exchange_with(address)
 
     def _known(self) -> set[Address]:
         return {claim.address for claim in self.members.present()}
 
     def _others(self) -> int:
-        """How many are held to be there beside ourselves."""
+        """Number of other members that are alive or suspect."""
         return len(self.members.present()) - 1
--- a/limeridge/peers/dissemination.py
+++ b/limeridge/peers/dissemination.py
@@ -1,7 +1,6 @@
-"""What a ping or an ack carries along: claims that are news, accusations, and whose answers are missed here.
+"""Builds pings and acks with piggybacked updates, accusations and the names of members that do not answer.
 
-It owns the accusations that are still to be told, and the bound of a datagram. It must never send anything:
-it builds the messages.
+This module keeps the queue of accusations and bounds the size of each datagram. It does not send anything.
 """
 
 from __future__ import annotations
@@ -10,91 +9,114 @@
 from dataclasses import dataclass
 from itertools import islice
 
-from limeridge.peers.members import Claim, Members, State, bytes_of
-from limeridge.peers.messages import CLAIM_BYTES, DATAGRAM_MOST, HEAD_BYTES, Accusal, Ack, Ping
+from limeridge.peers.members import Claim, Members, State, utf8_length
+from limeridge.peers.messages import (
+    CLAIM_FIXED_BYTES,
+    MAX_DATAGRAM_BYTES,
+    MESSAGE_OVERHEAD_BYTES,
+    Accusation,
+    Ack,
+    Ping,
+)
 from limeridge.peers.probing import Detector
-from limeridge.peers.reach import Reach
+from limeridge.peers.reachability import Reachability
 
-ACCUSALS_MOST = 6  # carried by one datagram
-MISSES_MOST = 6
-ACCUSALS_KEPT = 256
+MAX_ACCUSATIONS_PER_DATAGRAM = 6  # carried by one datagram
+MAX_MISSES_PER_DATAGRAM = 6
+MAX_QUEUED_ACCUSATIONS = 256
 
 
 @dataclass(slots=True, frozen=True)
 class Piggyback:
-    """What goes along with one ping or ack."""
+    """The gossip that one ping or ack carries."""
 
     claims: tuple[Claim, ...]
-    accusals: tuple[Accusal, ...]
-    misses: tuple[str, ...]  # names whose answers do not reach this member
+    accusals: tuple[Accusation, ...]
+    misses: tuple[str, ...]  # names of members whose acks do not reach this member
 
 
 class Dissemination:
-    """Builds pings and acks, each with as much news as one datagram has room for."""
-
-    def __init__(self, members: Members, detector: Detector, reach: Reach) -> None:
-        self.members, self.detector, self.reach = members, detector, reach
-        self.accusals: dict[Accusal, int] = {}  # how often each was told
-
-    def accuse(self, accusal: Accusal) -> None:
-        """Takes an accusation, our own or one that was heard; it is told on if it is new."""
-        new = self.detector.accused(accusal.name, accusal.life, accusal.incarnation, accusal.by)
-        if new and len(self.accusals) < ACCUSALS_KEPT:
-            self.accusals.setdefault(accusal, 0)
-
-    def withdraw(self, name: str) -> None:
-        """Forgets all accusations of a member that is no longer suspected."""
-        for accusal in [each for each in self.accusals if each.name == name]:
-            del self.accusals[accusal]
-
-    def ping(self, target: Claim, seq: int) -> Ping:
-        """A probe of `target`, which hears first what is held against itself."""
-        first = [target.name] if target.state is not State.ALIVE else []
-        return self.ping_about(target.name, seq, first)
-
-    def ping_about(self, to: str, seq: int, first: Iterable[str]) -> Ping:
-        """A probe of the member named `to`; the claims about `first` go ahead of all other news."""
-        news = self._piggyback(first)
+    """Builds pings and acks, each with as many updates as fit into one datagram."""
+
+    def __init__(self, members: Members, detector: Detector, reachability: Reachability) -> None:
+        self.members, self.detector, self.reachability = members, detector, reachability
+        self.accusations: dict[Accusation, int] = {}  # how often each has been sent
+
+    def add_accusation(self, accusation: Accusation) -> None:
+        """Handles our own or a received accusation, and queues it for gossip if it is new."""
+        new = self.detector.add_accuser(
+            accusation.name, accusation.life, accusation.incarnation, accusation.by
+        )
+        if new and len(self.accusations) < MAX_QUEUED_ACCUSATIONS:
+            self.accusations.setdefault(accusation, 0)
+
+    def remove_accusations(self, name: str) -> None:
+        """Drops all accusations of a member that is no longer suspect."""
+        for accusation in [each for each in self.accusations if each.name == name]:
+            del self.accusations[accusation]
+
+    def build_ping(self, target: Claim, seq: int) -> Ping:
+        """Builds a probe of `target`. If the target is not alive here, the claim about it goes first so that
+        it can refute it."""
+        priority_names = [target.name] if target.state is not State.ALIVE else []
+        return self.build_ping_for(target.name, seq, priority_names)
+
+    def build_ping_for(self, to: str, seq: int, priority_names: Iterable[str]) -> Ping:
+        """Builds a probe of the member `to`. Claims about `priority_names` precede all other updates."""
+        piggyback = self._piggyback(priority_names)
         members = self.members
-        return Ping(seq, members.own, to, members.digest, news.claims, news.accusals, news.misses)
+        return Ping(
+            seq, members.own, to, members.digest, piggyback.claims, piggyback.accusals, piggyback.misses
+        )
 
-    def ack(self, ping: Ping) -> Ack:
-        """Our answer to a probe."""
+    def build_ack(self, ping: Ping) -> Ack:
+        """Builds the answer to a probe."""
         sender, members = ping.own, self.members
         held = members.get(sender.name)
-        # What we hold against it goes first, so that it can refute, or raise the number of its life.
-        first = [sender.name] if held is not None and held.overrules(sender) else []
-        news = self._piggyback(first)
+        # If our claim supersedes the sender's, it goes first, so that the sender can refute it or raise the
+        # number of its life.
+        priority_names = [sender.name] if held is not None and held.supersedes(sender) else []
+        piggyback = self._piggyback(priority_names)
         own = members.own
-        return Ack(ping.seq, own, own.name, members.digest, news.claims, news.accusals, news.misses)
-
-    def _piggyback(self, first: Iterable[str]) -> Piggyback:
-        room = DATAGRAM_MOST - HEAD_BYTES - CLAIM_BYTES - self.members.own.texts
-        misses = self._misses()
-        room -= sum(bytes_of(name) + 3 for name in misses)
-        accusals = self._accusals(room)
-        room -= sum(map(_size, accusals))
-        return Piggyback(tuple(self.members.to_tell(room, CLAIM_BYTES, first)), tuple(accusals), misses)
-
-    def _misses(self) -> tuple[str, ...]:
-        there = sorted(claim.name for claim in self.members.others(State.ALIVE, State.SUSPECT))
-        return tuple(islice(self.reach.misses(there), MISSES_MOST))
-
-    def _accusals(self, room: int) -> list[Accusal]:
-        """The least told first, in up to about half of `room` bytes; each counts as told."""
-        chosen: list[Accusal] = []
-        for accusal in sorted(self.accusals, key=lambda each: (self.accusals[each], each.name, each.by)):
-            takes = _size(accusal)
-            if len(chosen) >= ACCUSALS_MOST or takes > room // 2:  # half is left for claims
+        return Ack(
+            ping.seq, own, own.name, members.digest, piggyback.claims, piggyback.accusals, piggyback.misses
+        )
+
+    def _piggyback(self, priority_names: Iterable[str]) -> Piggyback:
+        room = MAX_DATAGRAM_BYTES - MESSAGE_OVERHEAD_BYTES - CLAIM_FIXED_BYTES - self.members.own.text_bytes
+        misses = self._missing_ack_names()
+        room -= sum(utf8_length(name) + 3 for name in misses)
+        accusations = self._select_accusations(room)
+        room -= sum(map(_max_size, accusations))
+        return Piggyback(
+            tuple(self.members.select_updates(room, CLAIM_FIXED_BYTES, priority_names)),
+            tuple(accusations),
+            misses,
+        )
+
+    def _missing_ack_names(self) -> tuple[str, ...]:
+        names = sorted(claim.name for claim in self.members.others(State.ALIVE, State.SUSPECT))
+        return tuple(islice(self.reachability.members_not_answering(names), MAX_MISSES_PER_DATAGRAM))
+
+    def _select_accusations(self, available_bytes: int) -> list[Accusation]:
+        """Selects the accusations that have been sent least often, in up to about half of `available_bytes`,
+        and counts each as sent once."""
+        selected: list[Accusation] = []
+        for accusation in sorted(
+            self.accusations, key=lambda each: (self.accusations[each], each.name, each.by)
+        ):
+            size = _max_size(accusation)
+            # The other half is left for claims.
+            if len(selected) >= MAX_ACCUSATIONS_PER_DATAGRAM or size > available_bytes // 2:
                 break
-            chosen.append(accusal)
-            room -= takes
-            self.accusals[accusal] += 1
-            if self.accusals[accusal] >= self.members.tell_most():
-                del self.accusals[accusal]
-        return chosen
+            selected.append(accusation)
+            available_bytes -= size
+            self.accusations[accusation] += 1
+            if self.accusations[accusation] >= self.members.transmission_limit():
+                del self.accusations[accusation]
+        return selected
 
 
-def _size(accusal: Accusal) -> int:
-    """Bytes on the wire, at the most."""
-    return CLAIM_BYTES + bytes_of(accusal.name) + bytes_of(accusal.by)
+def _max_size(accusation: Accusation) -> int:
+    """Upper bound of the size on the wire in bytes."""
+    return CLAIM_FIXED_BYTES + utf8_length(accusation.name) + utf8_length(accusation.by)
--- a/limeridge/peers/join.py
+++ b/limeridge/peers/join.py
@@ -1,6 +1,6 @@
-"""From the file of membership to the part that an instance takes along.
+"""Creates an instance's member from the membership settings file.
 
-It owns the one step between them; faults of the file become the configuration's own `ConfigError`.
+Errors in the file are raised as the configuration's own `ConfigError`.
 """
 
 from __future__ import annotations
@@ -9,17 +9,19 @@
 from typing import Any
 
 from limeridge.config import ConfigError, Setup
-from limeridge.peers.link import Link
+from limeridge.peers.link import MemberService
 from limeridge.peers.setup import read
 from limeridge.settings.load import Unusable as BadFile
 
 
-def joining(path: str) -> Callable[[Setup, Any, Any], Link]:
-    """Reads the file of membership at `path`; what is returned makes the member of an instance. Raises
-    ConfigError where the file is at fault, and so does the call of what is returned where it does not fit
-    the configuration."""
+def member_factory(path: str) -> Callable[[Setup, Any, Any], MemberService]:
+    """Reads the membership settings at `path` and returns a factory for the member of an instance.
+
+    Raises ConfigError if the file is invalid. The factory raises it if the file does not fit the
+    configuration.
+    """
     try:
         peers = read(path)
     except BadFile as bad:
         raise ConfigError(str(bad)) from None
-    return lambda setup, reactor, log: Link(setup, peers, reactor, log)
+    return lambda setup, reactor, log: MemberService(setup, peers, reactor, log)
--- a/limeridge/peers/observer.py
+++ b/limeridge/peers/observer.py
@@ -1,7 +1,6 @@
-"""What is logged of the others: changes of their grades, of the connectivity to them and of the share's
-reason.
+"""Logs changes of the members' grades, of the connectivity and of the reason for the share.
 
-It owns what was logged last. It must never change anything but that.
+This module only remembers what it logged last; it changes no other state.
 """
 
 from __future__ import annotations
@@ -9,45 +8,45 @@
 from limeridge.peers.members import Claim, Members, State
 from limeridge.peers.outbox import Outbox
 from limeridge.peers.probing import Detector
-from limeridge.peers.reach import Connectivity, Grade, Reach
+from limeridge.peers.reachability import Connectivity, Grade, Reachability
 from limeridge.peers.share_exchange import ShareExchange
 
 
 class Observer:
-    """Compares what is held now with what was logged, one line for each difference."""
+    """Compares the current state with what was last logged, and logs one line per difference."""
 
     def __init__(
         self,
         members: Members,
         detector: Detector,
-        reach: Reach,
+        reachability: Reachability,
         shares: ShareExchange | None,
         outbox: Outbox,
         now: int,
-        every: int,
+        interval: int,
     ) -> None:
-        """`every`: microseconds between two looks."""
-        self.members, self.detector, self.reach = members, detector, reach
+        """`interval` is the time between two checks in microseconds."""
+        self.members, self.detector, self.reachability = members, detector, reachability
         self.shares, self.outbox = shares, outbox
-        self.every, self.next_at = every, now
+        self.interval, self.next_at = interval, now
         self.grades: dict[str, Grade] = {}
-        self.was_why = ""
+        self.last_reason = ""
 
     def wake(self, now: int) -> None:
-        """Looks where it is time to; with each call once this member leaves."""
+        """Checks for changes if it is time, or on every call once this member is leaving."""
         if now >= self.next_at or self.members.leaving:
-            self.next_at = now + self.every
-            self._look_at_members(now)
-            self._look_at_connectivity(now)
-            self._look_at_share(now)
+            self.next_at = now + self.interval
+            self._log_grade_changes(now)
+            self._log_connectivity_change(now)
+            self._log_share_change(now)
 
-    def forget(self, name: str) -> None:
-        """Drops what was logged of a member that is no longer in the table."""
+    def remove_member(self, name: str) -> None:
+        """Drops the last logged grade of a member that is no longer in the table."""
         self.grades.pop(name, None)
 
-    def _look_at_members(self, now: int) -> None:
+    def _log_grade_changes(self, now: int) -> None:
         for claim in self.members.others(*State):
-            grade, old = self.reach.grade(claim, now), self.grades.get(claim.name)
+            grade, old = self.reachability.grade(claim, now), self.grades.get(claim.name)
             if grade is not old:
                 self.grades[claim.name] = grade
                 self._log_grade(claim, grade, old)
@@ -63,8 +62,8 @@
             incarnation=claim.incarnation,
         )
 
-    def _look_at_connectivity(self, now: int) -> None:
-        old = self.reach.connectivity
+    def _log_connectivity_change(self, now: int) -> None:
+        old = self.reachability.connectivity
         new = self._connectivity(now)
         if new is not old:
             self.outbox.log("peers", f"with-{new.value}", present=len(self.members.present()))
@@ -72,12 +71,14 @@
     def _connectivity(self, now: int) -> Connectivity:
         present = len(self.members.present())
         dead = sum(1 for _ in self.members.others(State.DEAD))
-        return self.reach.look(present, present + dead, self.detector.heard_at, now)
+        return self.reachability.update_connectivity(
+            present, present + dead, self.detector.last_contact_at, now
+        )
 
-    def _look_at_share(self, now: int) -> None:
+    def _log_share_change(self, now: int) -> None:
         if self.shares is None:
             return
-        why = self.shares.why(now)
-        if why != self.was_why:
-            self.was_why = why
-            self.outbox.log("share", why, share=self.shares.share(now))
+        reason = self.shares.reason(now)
+        if reason != self.last_reason:
+            self.last_reason = reason
+            self.outbox.log("share", reason, share=self.shares.share(now))
--- a/limeridge/peers/peer.py
+++ b/limeridge/peers/peer.py
@@ -1,9 +1,8 @@
-"""One member of a fleet: which of its parts hear of a message, of the time and of a farewell, and in what
-order.
+"""One member of a fleet, assembled from its components.
 
-It owns that order alone; each part owns its own decisions. It must never open a socket, look at a clock or
-encode: `out` holds what is to be sent, `events` what is to be logged, both taken by whoever drives it. It
-raises on nothing that a member of the fleet may send.
+This module only dispatches messages, timers and the departure to the components, in a fixed order; the
+decisions are theirs. It does no I/O and reads no clock: the driver takes the messages to be sent from `out`
+and the events to be logged from `events`. No message that a member of the fleet may send makes it raise.
 """
 
 from __future__ import annotations
@@ -16,73 +15,93 @@
 from limeridge.peers.delegates import Delegate, Delegates
 from limeridge.peers.discovery import Discovery
 from limeridge.peers.dissemination import Dissemination
-from limeridge.peers.habits import Habits
+from limeridge.peers.intervals import Intervals
 from limeridge.peers.members import Address, Claim, Life, Members, State
-from limeridge.peers.messages import Ack, Ask, Message, Nack, Offer, Ping, Renew, Support, Table, Word
+from limeridge.peers.messages import (
+    Ack,
+    DelegateMessage,
+    Message,
+    Nack,
+    Offer,
+    Ping,
+    PingRequest,
+    Renew,
+    Support,
+    Table,
+)
 from limeridge.peers.observer import Observer
 from limeridge.peers.outbox import Event, Outbox, Send
 from limeridge.peers.prober import Prober
 from limeridge.peers.probing import Detector
-from limeridge.peers.reach import Reach
+from limeridge.peers.reachability import Reachability
 from limeridge.peers.relays import Relays
-from limeridge.peers.seeds import Seeker
+from limeridge.peers.seeds import NodeListReader
 from limeridge.peers.share_exchange import ShareExchange
 from limeridge.peers.shares import Holder, Terms, View, Voter
 from limeridge.peers.table_exchange import TableExchange
 from limeridge.peers.updates import Updates
 
-__all__ = ["Habits", "Peer", "own_claim"]
+__all__ = ["Intervals", "Peer", "own_claim"]
 
-FRESH_ROUNDS = 4  # that a sign of a member counts
-BACK_ROUNDS = 10  # that a member counts as back from being gone
-LOOKS = 4  # at grades and reasons, in a round
+FRESHNESS_ROUNDS = 4  # for which a contact with a member counts
+RECOVERY_ROUNDS = 10  # for which a returned member is graded BACK
+OBSERVATIONS_PER_ROUND = 4  # checks for changes that are to be logged
 NEVER = 1 << 62  # microseconds
 
 
 class Peer:
-    """A member, driven by messages (`heard`) and by time (`wake` at `next_at`)."""
+    """A member, driven by received messages (`receive`) and by time (`wake` at `next_at`)."""
 
     def __init__(
         self,
         own: Claim,
         seeds: Sequence[Address],
-        habits: Habits,
+        intervals: Intervals,
         terms: Terms | None,
-        chance: random.Random,
+        rng: random.Random,
         now: int,
-        quiet: int = 0,
-        seeker: Seeker | None = None,
+        startup_delay: int = 0,
+        list_reader: NodeListReader | None = None,
     ) -> None:
-        """`terms`: of the limit that is shared out, None where there is none; `quiet`: microseconds from now
-        in which no call may begin; `seeker`: where members are found by service discovery too."""
-        interval = habits.pace.interval
-        self.habits, self.terms, self.chance = habits, terms, chance
-        self.unix = 0  # Unix time in microseconds, as whoever drives it last told, for the delegates
+        """Creates a member that starts at `now`.
+
+        `terms` describes the shared limit, None if there is none; no call may begin for `startup_delay`
+        microseconds. `list_reader` is given if members are also found through service discovery.
+        """
+        interval = intervals.probe_settings.interval
+        self.intervals, self.terms, self.rng = intervals, terms, rng
+        self.unix = 0  # Unix time in microseconds for the delegates, updated by the driver
         self.outbox = Outbox()
         self.members = Members(own)
-        self.detector = Detector(self.members, chance, habits.pace, now)
-        self.reach = Reach(FRESH_ROUNDS * interval, BACK_ROUNDS * interval, connectivity_since=now)
+        self.detector = Detector(self.members, rng, intervals.probe_settings, now)
+        self.reachability = Reachability(
+            FRESHNESS_ROUNDS * interval, RECOVERY_ROUNDS * interval, connectivity_since=now
+        )
         self.voter = Voter(terms, now) if terms is not None else None
-        members, detector, reach, outbox = self.members, self.detector, self.reach, self.outbox
-        self.dissemination = Dissemination(members, detector, reach)
-        self.updates = Updates(members, detector, reach, self.dissemination, outbox)
-        self.relays = Relays(members, self.dissemination, outbox, habits.pace.time_out)
-        self.prober = Prober(members, detector, reach, self.dissemination, self.updates, self.relays, outbox)
-        self.tables = TableExchange(members, self.voter, habits, chance, outbox, now)
+        members, detector, reachability, outbox = self.members, self.detector, self.reachability, self.outbox
+        self.dissemination = Dissemination(members, detector, reachability)
+        self.updates = Updates(members, detector, reachability, self.dissemination, outbox)
+        self.relays = Relays(members, self.dissemination, outbox, intervals.probe_settings.timeout)
+        self.prober = Prober(
+            members, detector, reachability, self.dissemination, self.updates, self.relays, outbox
+        )
+        self.tables = TableExchange(members, self.voter, intervals, rng, outbox, now)
         self.discovery = Discovery(
-            members, seeds, seeker, self.tables, self.dissemination, habits, chance, outbox, now
+            members, seeds, list_reader, self.tables, self.dissemination, intervals, rng, outbox, now
         )
         self.shares: ShareExchange | None = None
         if terms is not None and self.voter is not None:
-            self.shares = ShareExchange(members, terms, self.voter, self.tables, outbox, now, quiet)
+            self.shares = ShareExchange(members, terms, self.voter, self.tables, outbox, now, startup_delay)
         self.delegates = Delegates(members, outbox)
-        self.observer = Observer(members, detector, reach, self.shares, outbox, now, interval // LOOKS)
+        self.observer = Observer(
+            members, detector, reachability, self.shares, outbox, now, interval // OBSERVATIONS_PER_ROUND
+        )
 
-    # ---- what is held
+    # ---- state
 
     @property
     def own(self) -> Claim:
-        """What this member says of itself."""
+        """This member's own claim."""
         return self.members.own
 
     @property
@@ -92,34 +111,34 @@
 
     @property
     def holder(self) -> Holder | None:
-        """What this member may use of the limit; None where none is shared out."""
+        """The record of supports for this member's share; None if the limit is not shared."""
         return self.shares.holder if self.shares is not None else None
 
     @property
     def out(self) -> list[Send]:
-        """Messages that wait to be sent."""
+        """Messages waiting to be sent."""
         return self.outbox.sends
 
     @property
     def events(self) -> list[Event]:
-        """Events that wait to be logged."""
+        """Events waiting to be logged."""
         return self.outbox.events
 
     @property
-    def alike(self) -> set[str]:
-        """The names of those that held the same table when last heard."""
-        return self.tables.alike
+    def in_sync(self) -> set[str]:
+        """Names of the members whose last digest equalled ours."""
+        return self.tables.in_sync
 
-    def agree(self) -> int:
-        """How many of the others that are there held the same table when last heard."""
-        return self.tables.agreeing()
+    def count_in_sync(self) -> int:
+        """Number of other present members whose last digest equalled ours."""
+        return self.tables.count_in_sync()
 
     # ---- time
 
     def next_at(self) -> int:
-        """When `wake` is to be called next, microseconds."""
-        times = self.relays.times()
-        if self.leaving:  # nothing more is asked
+        """When `wake` is due next, microseconds."""
+        times = self.relays.deadlines()
+        if self.leaving:  # only pending relays are still served
             return min(times, default=NEVER)
         times += [self.detector.next_at, self.tables.next_at, self.discovery.next_at()]
         if self.shares is not None:
@@ -127,7 +146,7 @@
         return min([*times, *self.delegates.wake_at.values()])
 
     def wake(self, now: int) -> None:
-        """To be called at `next_at` or soon after; earlier does no harm."""
+        """Runs what is due. Call it at `next_at` or soon after; an earlier call is harmless."""
         if not self.leaving:
             self.prober.wake(now)
             if self.shares is not None:
@@ -135,118 +154,122 @@
             self.discovery.wake(now)
             self.tables.wake(now)
         self.relays.expire(now)
-        for claim in self.members.forget(now, self.habits.remember):
-            self._forget(claim.name)
+        for claim in self.members.remove_expired(now, self.intervals.retention):
+            self._remove_member(claim.name)
         self.delegates.wake(self.unix, now)
         self.observer.wake(now)
 
     def leave(self, now: int) -> None:
-        """Told before a drain: to as many as a claim is told, at once, so that no round need pass."""
+        """Announces, before a drain, that this member leaves. The announcement is sent at once to as many
+        members as an update is sent to, without waiting for the next probe round."""
         if self.leaving:
             return
         self.delegates.leave(now)
-        self.updates.changed(self.members.restate(replace(self.own, state=State.LEFT), now), now)
+        self.updates.handle_change(
+            self.members.replace_own_claim(replace(self.own, state=State.LEFT), now), now
+        )
         others = sorted(self.members.others(State.ALIVE, State.SUSPECT), key=lambda claim: claim.name)
-        most = self.members.tell_most()
-        for claim in self.chance.sample(others, min(len(others), most)):
+        limit = self.members.transmission_limit()
+        for claim in self.rng.sample(others, min(len(others), limit)):
             self.outbox.send(claim, Ping(0, self.own, claim.name, self.members.digest))
 
-    def _forget(self, name: str) -> None:
-        self.reach.seen.pop(name, None)
-        self.observer.forget(name)
-        self.tables.forget(name)
+    def _remove_member(self, name: str) -> None:
+        self.reachability.contacts.pop(name, None)
+        self.observer.remove_member(name)
+        self.tables.remove_member(name)
 
-    # ---- what came
+    # ---- messages
 
-    def heard(self, message: Message, now: int) -> Table | None:
-        """Takes a message; what is returned goes back over the stream that brought it."""
+    def receive(self, message: Message, now: int) -> Table | None:
+        """Handles a message. A table that is returned is to be sent back over the same stream."""
         sender = message.own
-        self.reach.of(sender.name).heard = now
+        self.reachability.contact(sender.name).last_received = now
         if sender.name == self.own.name and sender.life == self.own.life:
-            return None  # our own words, come back
+            return None  # our own message, sent back to us
         self.updates.merge(sender, now)
         if isinstance(message, Table):
-            return self._heard_table(message, now)
-        if isinstance(message, Word):
-            self.delegates.heard(message, self.unix, now)
+            return self._receive_table(message, now)
+        if isinstance(message, DelegateMessage):
+            self.delegates.receive(message, self.unix, now)
         elif isinstance(message, Renew | Support | Offer):
-            self._heard_of_shares(message, now)
+            self._receive_share_message(message, now)
         else:
-            self._heard_probe(message, now)
+            self._receive_probe(message, now)
         return None
 
-    def _heard_probe(self, message: Ping | Ack | Nack | Ask, now: int) -> None:
+    def _receive_probe(self, message: Ping | Ack | Nack | PingRequest, now: int) -> None:
         if isinstance(message, Ping | Ack):
-            self._take_news(message, now)
+            self._apply_gossip(message, now)
         if isinstance(message, Ping):
-            self.prober.answer(message)
+            self.prober.send_ack(message)
         elif isinstance(message, Ack):
-            self.prober.answered(message, now)
+            self.prober.handle_ack(message, now)
         elif isinstance(message, Nack):
-            self.prober.refused(message, now)
+            self.prober.handle_nack(message, now)
         else:
             self.relays.begin(message, now)
 
-    def _take_news(self, message: Ping | Ack, now: int) -> None:
+    def _apply_gossip(self, message: Ping | Ack, now: int) -> None:
         for claim in message.news:
             self.updates.merge(claim, now)
-        for accusal in message.accusals:
-            self.dissemination.accuse(accusal)
-        seen = self.reach.of(message.own.name)
-        seen.misses, seen.said = frozenset(message.misses), now
-        self.tables.compare(message, now)
+        for accusation in message.accusals:
+            self.dissemination.add_accusation(accusation)
+        times = self.reachability.contact(message.own.name)
+        times.misses, times.misses_reported_at = frozenset(message.misses), now
+        self.tables.compare_digest(message, now)
 
-    def _heard_of_shares(self, message: Renew | Support | Offer, now: int) -> None:
+    def _receive_share_message(self, message: Renew | Support | Offer, now: int) -> None:
         if self.shares is None:
             return
         if isinstance(message, Renew):
-            self.shares.asked(message, now)
+            self.shares.handle_renew(message, now)
         elif isinstance(message, Support):
-            self.shares.supported(message, now)
+            self.shares.handle_support(message, now)
         else:
-            self.shares.offered(View(message.epoch, frozenset(message.keys)))
+            self.shares.handle_view(View(message.epoch, frozenset(message.keys)))
 
-    def _heard_table(self, table: Table, now: int) -> Table | None:
-        self.detector.heard_at = now
+    def _receive_table(self, table: Table, now: int) -> Table | None:
+        self.detector.last_contact_at = now
         for claim in table.claims:
             self.updates.merge(claim, now)
         if self.shares is not None:
             epoch, keys = table.view
-            self.shares.offered(View(epoch, frozenset(keys)))
-        return self.tables.whole(answer=False) if table.answer else None
+            self.shares.handle_view(View(epoch, frozenset(keys)))
+        return self.tables.build_table(answer=False) if table.answer else None
 
     # ---- delegates
 
     def attach(self, delegate: Delegate, now: int) -> None:
-        """Carries `delegate` from now on."""
+        """Adds a delegate, which takes part from now on."""
         self.delegates.attach(delegate, now)
 
-    def carry(self, kind: str, now: int) -> None:
-        """Sends what the delegate of that kind has to say after something was asked of it from outside.
+    def flush(self, kind: str, now: int) -> None:
+        """Sends and logs what the delegate of that kind has queued, after it was called from outside.
 
-        Raises KeyError where there is no such delegate.
+        Raises KeyError if there is no such delegate.
         """
-        self.delegates.carry(kind, now)
+        self.delegates.flush(kind, now)
 
     # ---- shares
 
     def share(self, now: int) -> int | None:
-        """Calls in hand that this instance may have now; None where the limit is not shared out."""
+        """Concurrent calls that this instance may have now; None if the limit is not shared."""
         return self.shares.share(now) if self.shares is not None else None
 
-    def why(self, now: int) -> str:
-        """A reason code for the share; empty where the limit is not shared out."""
-        return self.shares.why(now) if self.shares is not None else ""
+    def reason(self, now: int) -> str:
+        """Reason code for the current share; empty if the limit is not shared."""
+        return self.shares.reason(now) if self.shares is not None else ""
 
-    def deal_by(self, above: Callable[[int], int]) -> None:
-        """Lets a duty deal what is above the floors, in place of views.
+    def use_allotted_surplus(self, allotted_surplus: Callable[[int], int]) -> None:
+        """Lets a duty allot the surplus above the floors, in place of views.
 
-        `above` gives this member's calls at a time. Nothing changes where the limit is not shared out.
+        `allotted_surplus` returns this member's calls above its floor at a given time. Without a shared limit
+        this has no effect.
         """
         if self.shares is not None:
-            self.shares.above = above
+            self.shares.allotted_surplus = allotted_surplus
 
 
 def own_claim(name: str, address: Address, unix: int, nonce: int, zone: str = "", version: str = "") -> Claim:
-    """The claim of a process that starts now; `unix` in microseconds."""
+    """Builds the claim of a process that starts now; `unix` is Unix time in microseconds."""
     return Claim(name, Life(max(1, unix), nonce), 0, State.ALIVE, *address, zone, version)
--- a/limeridge/peers/share_exchange.py
+++ b/limeridge/peers/share_exchange.py
@@ -1,26 +1,34 @@
-"""This member's share of the fleet's limit on the wire: asking voters, answering holders, offering views.
+"""The message exchange about shares of the fleet-wide limit: renewals, supports and proposals of views.
 
-It owns the numbers of its askings and when they are made. It must never work a share out: shares.py does.
+This module decides when supports are requested and matches answers to requests. The shares themselves are
+computed in shares.py.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from limeridge.peers.members import Claim, Members, State, bytes_of
-from limeridge.peers.messages import CLAIM_BYTES, DATAGRAM_MOST, HEAD_BYTES, Offer, Renew, Support
+from limeridge.peers.members import Claim, Members, State, utf8_length
+from limeridge.peers.messages import (
+    CLAIM_FIXED_BYTES,
+    MAX_DATAGRAM_BYTES,
+    MESSAGE_OVERHEAD_BYTES,
+    Offer,
+    Renew,
+    Support,
+)
 from limeridge.peers.outbox import Outbox
-from limeridge.peers.shares import Epoch, Holder, Offers, Terms, View, Voter
+from limeridge.peers.shares import Epoch, Holder, Terms, View, ViewProposer, Voter
 from limeridge.peers.table_exchange import TableExchange
 
 MS = 1_000  # microseconds
-RENEWALS = 4  # looks within one lease at which voters are to be asked
-PULL_EVERY = 250 * MS  # between two pulls of whole tables from the same member
-SELDOM = 1_000_000 * MS  # between two looks at renewals where a duty deals: nothing is to be renewed
+RENEWAL_CHECKS_PER_LEASE = 4  # how often within a lease it is checked which voters to ask again
+MIN_TABLE_REQUEST_INTERVAL = 250 * MS  # between two requests for the table of the same member
+IDLE_INTERVAL = 1_000_000 * MS  # between wake-ups while a duty allots the surplus and nothing is renewed
 
 
 class ShareExchange:
-    """What one member says and hears as holder, voter and maker of views."""
+    """Handles the messages of one member as a holder, as a voter and as a proposer of views."""
 
     def __init__(
         self,
@@ -30,118 +38,127 @@
         tables: TableExchange,
         outbox: Outbox,
         now: int,
-        quiet: int,
+        startup_delay: int,
     ) -> None:
-        """`quiet`: microseconds from now in which no call may begin, as shares.Holder has it."""
+        """No call may begin for `startup_delay` microseconds, see shares.Holder."""
         self.members, self.terms, self.voter = members, terms, voter
         self.tables, self.outbox = tables, outbox
-        self.holder = Holder(terms, now, quiet)
-        self.offers = Offers(terms, members.own.name, members.own.life.nonce)
-        self.above: Callable[[int], int] | None = None  # calls above the floor, where a duty deals them
+        self.holder = Holder(terms, now, startup_delay)
+        self.proposer = ViewProposer(terms, members.own.name, members.own.life.nonce)
+        # Calls above the floor at a given time, if a duty allots them; None: views divide the surplus.
+        self.allotted_surplus: Callable[[int], int] | None = None
         self.next_at = now
         self.last_seq = 0
-        self.renewals: dict[int, int] = {}  # open askings and when they were made
+        self.pending_renewals: dict[int, int] = {}  # requests by number, with their times
 
     # ---- the share
 
     def share(self, now: int) -> int:
-        """Calls in hand that this instance may have now."""
+        """Concurrent calls that this instance may have now."""
         share = self.holder.share(now)
-        if self.above is not None and now >= self.holder.begins:
-            share = self.terms.floor + self.above(now)
+        if self.allotted_surplus is not None and now >= self.holder.first_call_at:
+            share = self.terms.floor + self.allotted_surplus(now)
         present = len(self.members.present())
         if present > self.terms.capacity + self.terms.doubles:
-            # More than the settings allow for: no promise holds, but it must not grow with their number.
+            # More processes than configured: the limit is no longer guaranteed, but the total must not grow
+            # with their number.
             share = min(share, self.terms.limit // present)
-        if self.members.yields or self.members.leaving:
+        if self.members.must_yield_name or self.members.leaving:
             return min(share, self.terms.floor)
         return share
 
-    def why(self, now: int) -> str:
+    def reason(self, now: int) -> str:
         """A reason code for the share."""
-        if self.above is None or now < self.holder.begins:
-            return self.holder.why(now)
-        return "by-need" if self.above(now) else "floor-only"
+        if self.allotted_surplus is None or now < self.holder.first_call_at:
+            return self.holder.reason(now)
+        return "by-need" if self.allotted_surplus(now) else "floor-only"
 
-    # ---- asking
+    # ---- requests
 
     def wake(self, now: int) -> None:
-        """Asks the voters whose answers are to be renewed; to be called at `next_at` or soon after."""
+        """Asks the voters whose answers need renewal. Call it at `next_at` or soon after."""
         if now < self.next_at:
             return
-        if self.above is not None:  # no views are made where a duty deals
-            self.next_at = now + SELDOM
+        if self.allotted_surplus is not None:  # a duty allots the surplus in place of views
+            self.next_at = now + IDLE_INTERVAL
             return
-        self.next_at = now + self.terms.lease // RENEWALS
-        highest = max(self.holder.highest(), self.voter.view.epoch)
-        if self._votes():
-            self._offer_next(highest, now)
-        self._open_renewal(now)
-        if self._votes():
+        self.next_at = now + self.terms.lease // RENEWAL_CHECKS_PER_LEASE
+        highest = max(self.holder.highest_epoch(), self.voter.view.epoch)
+        if self._is_voter():
+            self._propose_view(highest, now)
+        self._start_renewal(now)
+        if self._is_voter():
             answer = self.voter.support(self.members.own.key, now)
             if answer is not None:
-                self.holder.answered(self.members.own.name, *answer, now)
-        for claim in self._voters():
-            if self.holder.wants(claim.name, highest, now):
+                self.holder.record_support(self.members.own.name, *answer, now)
+        for claim in self._other_voters():
+            if self.holder.needs_renewal(claim.name, highest, now):
                 self.outbox.send(claim, Renew(self.last_seq, self.members.own, self.voter.view.epoch))
 
-    def supported(self, support: Support, now: int) -> None:
-        """Takes a voter's answer, where it is to an asking that is still open."""
-        asked_at = self.renewals.get(support.seq)
-        if asked_at is not None:
-            self.holder.answered(support.own.name, support.epoch, support.cap, asked_at)
+    def handle_support(self, support: Support, now: int) -> None:
+        """Handles a voter's answer to a request that is still pending."""
+        requested_at = self.pending_renewals.get(support.seq)
+        if requested_at is not None:
+            self.holder.record_support(support.own.name, support.epoch, support.cap, requested_at)
             self._catch_up(support.own, support.epoch, now)
 
-    def _open_renewal(self, now: int) -> None:
+    def _start_renewal(self, now: int) -> None:
         self.last_seq += 1
-        self.renewals = {seq: at for seq, at in self.renewals.items() if now - at < self.terms.lease}
-        self.renewals[self.last_seq] = now
+        self.pending_renewals = {
+            seq: at for seq, at in self.pending_renewals.items() if now - at < self.terms.lease
+        }
+        self.pending_renewals[self.last_seq] = now
 
     # ---- voting
 
-    def asked(self, renew: Renew, now: int) -> None:
-        """Answers a holder, where this member votes."""
-        if not self._votes() or self.members.leaving:
+    def handle_renew(self, renew: Renew, now: int) -> None:
+        """Answers a holder's request if this member is a voter."""
+        if not self._is_voter() or self.members.leaving:
             return
-        if self.members.yields:
-            return  # another process votes under this name
+        if self.members.must_yield_name:
+            return  # the other process with this name votes
         sender = renew.own
         answer = self.voter.support(sender.key, now)
         if answer is not None:
             self.outbox.send(sender, Support(renew.seq, self.members.own, *answer))
         self._catch_up(sender, renew.epoch, now)
 
-    def offered(self, view: View) -> None:
-        """Takes a view, where it is newer than the one that is held."""
-        if self.voter.offered(view):
+    def handle_view(self, view: View) -> None:
+        """Handles a proposed view; it takes effect if it is newer than the current one."""
+        if self.voter.accept(view):
             epoch, by, _ = view.epoch
             self.outbox.log("peers", "view", epoch=epoch, by=by, members=len(view.keys))
 
     # ---- views
 
-    def _offer_next(self, highest: Epoch, now: int) -> None:
-        """Makes a new view and sends it to all voters, where it is time and this member's turn."""
-        present, reach = self.members.present(), self.holder.in_reach(now)
-        view = self.offers.next(present, self.voter.view, highest, reach, now)
-        if view is not None and not self.members.yields:
-            self.offered(view)
-            self._spread(view)
+    def _propose_view(self, highest: Epoch, now: int) -> None:
+        """Proposes a new view to all voters if it is time and this member's turn."""
+        present, reachable_voters = self.members.present(), self.holder.reachable_voters(now)
+        view = self.proposer.next_view(present, self.voter.view, highest, reachable_voters, now)
+        if view is not None and not self.members.must_yield_name:
+            self.handle_view(view)
+            self._broadcast_view(view)
 
-    def _spread(self, view: View) -> None:
+    def _broadcast_view(self, view: View) -> None:
         own = self.members.own
         offer = Offer(own, view.epoch, tuple(sorted(view.keys)))
-        size = HEAD_BYTES + CLAIM_BYTES + own.texts + sum(bytes_of(key) + 3 for key in view.keys)
-        for claim in self._voters():
-            self.outbox.send(claim, offer, stream=size > DATAGRAM_MOST)
+        size = (
+            MESSAGE_OVERHEAD_BYTES
+            + CLAIM_FIXED_BYTES
+            + own.text_bytes
+            + sum(utf8_length(key) + 3 for key in view.keys)
+        )
+        for claim in self._other_voters():
+            self.outbox.send(claim, offer, stream=size > MAX_DATAGRAM_BYTES)
 
     def _catch_up(self, other: Claim, epoch: Epoch, now: int) -> None:
-        """Asks for the table of one that knows a newer view."""
+        """Requests the table of a member that knows a newer view."""
         if epoch > self.voter.view.epoch:
-            self.tables.pull(other, now, PULL_EVERY)
+            self.tables.request_table(other, now, MIN_TABLE_REQUEST_INTERVAL)
 
-    def _votes(self) -> bool:
+    def _is_voter(self) -> bool:
         return self.terms.votes(self.members.own.name)
 
-    def _voters(self) -> list[Claim]:
+    def _other_voters(self) -> list[Claim]:
         others = self.members.others(State.ALIVE, State.SUSPECT)
         return [claim for claim in others if self.terms.votes(claim.name)]
--- a/limeridge/scale/instance_rows.py
+++ b/limeridge/scale/instance_rows.py
@@ -8,8 +8,8 @@
 
 from limeridge.facade import MAX_RESULTS_BYTES
 from limeridge.net.nodelist import REPORT_INTERVAL_S as REPORT_EVERY
-from limeridge.peers.habits import Habits
-from limeridge.peers.messages import STREAM_MOST
+from limeridge.peers.intervals import Intervals
+from limeridge.peers.messages import MAX_STREAM_BYTES
 from limeridge.scale import assumptions as take
 from limeridge.scale.configured import Configured, both, current
 from limeridge.scale.evidence import Evidence, Fallback, Figure, assumed, between, resting_on, stated
@@ -147,7 +147,7 @@
         evidence.at(
             member_cost(role, "largest message", situations[-1]), target.instances, take.LARGEST_MESSAGE
         ),
-        Budget(of_bytes(STREAM_MOST), "the bound on one message in limeridge.peers.messages"),
+        Budget(of_bytes(MAX_STREAM_BYTES), "the bound on one message in limeridge.peers.messages"),
         modules,
     )
 
@@ -270,7 +270,7 @@
         Part.CONTROL,
         "its whole table of members",
         "one member, and back",
-        each_interval(microseconds(Habits().sync)),
+        each_interval(microseconds(Intervals().sync)),
         largest,
         MEMBERSHIP_MODULES,
     )
--- a/limeridge/sim/gossip.py
+++ b/limeridge/sim/gossip.py
@@ -18,11 +18,19 @@
 from functools import partial
 from itertools import count
 
-from limeridge.peers.habits import Habits
+from limeridge.peers.intervals import Intervals
 from limeridge.peers.members import Address, State
-from limeridge.peers.messages import DATAGRAM_MOST, Foreign, Message, Ping, decode, encode, key_of
+from limeridge.peers.messages import (
+    MAX_DATAGRAM_BYTES,
+    InvalidMessageError,
+    Message,
+    Ping,
+    decode,
+    derive_key,
+    encode,
+)
 from limeridge.peers.peer import Peer, own_claim
-from limeridge.peers.probing import Pace
+from limeridge.peers.probing import ProbeSettings
 from limeridge.peers.shares import Terms
 
 MS = 1_000
@@ -74,7 +82,7 @@
     seed: int
     members: int
     terms: Terms
-    habits: Habits
+    habits: Intervals
     loss: float
     quiet: int  # all heals
     end: int
@@ -87,8 +95,11 @@
     def detect(self) -> int:
         """Within which a death is known to all where no link is cut and nobody is slow: the longest
         suspicion, of one whom nobody else accuses, and twenty rounds."""
-        pace = self.habits.pace
-        rounds = pace.most * pace.least * max(1.0, math.log10(self.members)) + 20
+        pace = self.habits.probe_settings
+        rounds = (
+            pace.suspicion_max_multiplier * pace.suspicion_multiplier * max(1.0, math.log10(self.members))
+            + 20
+        )
         return int(rounds * pace.interval)
 
 
@@ -173,10 +184,10 @@
         def take() -> None:
             try:
                 message = decode(data, self.fleet.key)
-            except Foreign:
+            except InvalidMessageError:
                 return
             self.peer.unix = self.unix()
-            answer = self.peer.heard(message, self.clock())
+            answer = self.peer.receive(message, self.clock())
             if answer is not None and back is not None:
                 back(answer)
 
@@ -210,7 +221,7 @@
         self.now = 0
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
         self.order = count()
-        self.key = key_of("sim", b"sim")
+        self.key = derive_key("sim", b"sim")
         self.steps = [0] * setting.members
         self.drifts = [self.chance.uniform(-1, 1) * setting.terms.drift for _ in range(setting.members)]
         self.by_host: dict[str, Process] = {}
@@ -285,7 +296,7 @@
             verdict.packets += 1
             verdict.bytes += len(data)
             verdict.largest = max(verdict.largest, len(data))
-            if len(data) > DATAGRAM_MOST:
+            if len(data) > MAX_DATAGRAM_BYTES:
                 self.broke("datagram", f"{type(message).__name__} of {len(data)} bytes")
         here, there = source.host, to[0]
         if self.cuts[(here, there)] or (not stream and self.chance.random() < self.loss):
@@ -476,7 +487,7 @@
 
     def _garble(self, trouble: Trouble) -> None:
         """Datagrams that are noise, cut short, or under another key."""
-        other = key_of("another", b"sim")
+        other = derive_key("another", b"sim")
         for process in self.chosen(trouble):
             for _ in range(int(trouble.amount)):
                 data: bytes = self.chance.choice(
@@ -626,12 +637,12 @@
 
 # ---- drawing
 
-QUICK = Habits(
-    Pace(interval=300 * MS, time_out=100 * MS, late=250 * MS),
+QUICK = Intervals(
+    ProbeSettings(interval=300 * MS, timeout=100 * MS, stall_threshold=250 * MS),
     sync=3_000 * MS,
-    sync_soon=400 * MS,
-    reach_out=600 * MS,
-    remember=600_000 * MS,
+    min_sync_interval=400 * MS,
+    reconnect=600 * MS,
+    retention=600_000 * MS,
 )
 
 
--- a/limeridge/sim/mutants.py
+++ b/limeridge/sim/mutants.py
@@ -555,7 +555,7 @@
     _m(
         "cap-of-new-view",
         SHARES,
-        "cap = min(cap, view.part(key, self._surplus))",
+        "cap = min(cap, view.allocation(key, self._surplus))",
         "pass",
         "a voter looks at its newest view alone",
     ),
@@ -576,15 +576,15 @@
     _m(
         "speaks-at-once",
         SHARES,
-        "return now < self.born + self._hold",
+        "return now < self.started_at + self._hold",
         "return False",
         "a voter that has started answers as if it knew",
     ),
     _m(
         "lease-not-looked-at",
         SHARES,
-        "if since < each.asked_at <= now",
-        "if each.asked_at <= now",
+        "if since < each.requested_at <= now",
+        "if each.requested_at <= now",
         "a holder goes on with answers that are over",
     ),
     _m(
@@ -597,8 +597,8 @@
     _m(
         "parts-rounded-up",
         SHARES,
-        "return each + (key in self.lucky(over))",
-        "return each + (over > 0)",
+        "return each + (key in self.remainder_keys(remainder))",
+        "return each + (remainder > 0)",
         "what is left over is given to all",
     ),
     _m(
@@ -611,15 +611,15 @@
     _m(
         "no-quiet",
         SHARES,
-        "self.terms, self.begins = terms, now + quiet",
-        "self.terms, self.begins = terms, now",
+        "self.terms, self.first_call_at = terms, now + startup_delay",
+        "self.terms, self.first_call_at = terms, now",
         "a new life calls while its predecessor's calls are in hand",
     ),
     _m(
         "nobody-offers",
         SHARES,
-        "return bool(voters) and max(voters",
-        "return bool(voters) and min(voters, key=len) != self.own and max(voters",
+        "bool(voters) and max(voters",
+        "bool(voters) and min(voters, key=len) != self.own and max(voters",
         "some fleets never get a new view",
     ),
     _m(
@@ -632,7 +632,7 @@
     _m(
         "no-refutation",
         MEMBERS,
-        "return self.restate(replace(old, incarnation=claim.incarnation + 1), now)",
+        "return self.replace_own_claim(replace(old, incarnation=claim.incarnation + 1), now)",
         "return None",
         "a suspicion of ourselves is not answered",
     ),
@@ -646,64 +646,66 @@
     _m(
         "news-once",
         MEMBERS,
-        "if news.told >= self.tell_most():",
-        "if news.told >= 1:",
+        "if update.told >= self.transmission_limit():",
+        "if update.told >= 1:",
         "a change is told once and no more",
     ),
     _m(
         "dead-at-once",
         PROBING,
-        "return self.begun + max(self.least, int(self.most - (self.most - self.least) * share))",
-        "return self.begun + self.least // 8",
+        "return self.started_at + max(\n"
+        "            self.min_duration, int(self.max_duration - (self.max_duration - self.min_duration) * share)\n"
+        "        )",
+        "return self.started_at + self.min_duration // 8",
         "a suspicion does not wait for its refutation",
     ),
     _m(
         "never-accused",
         PROBING,
-        "        return [Accuse(claim)]\n",
+        "        return [DeclareSuspect(claim)]\n",
         "        return []\n",
         "who does not answer is never suspected",
     ),
     _m(
         "isolated-holds-dead",
         PROBING,
-        "        alone = now - max(self.heard_at, self.back_at)\n",
-        "        return False\n        alone = now - max(self.heard_at, self.back_at)\n",
+        "        silence = now - max(self.last_contact_at, self.stall_ended_at)\n",
+        "        return False\n        silence = now - max(self.last_contact_at, self.stall_ended_at)\n",
         "one that stood still or hears nobody holds others dead",
     ),
     _m(
         "stall-unseen",
         PROBING,
-        "if now - self.next_at > self.pace.late:",
-        "if now - self.next_at > 1_000 * self.pace.late:",
+        "if now - self.next_at > self.settings.stall_threshold:",
+        "if now - self.next_at > 1_000 * self.settings.stall_threshold:",
         "one that stood still does not notice",
     ),
     _m(
         "soon-alone",
         PROBING,
-        "self.was_soon = bool(self.soon) and not self.was_soon",
-        "self.was_soon = True",
+        "self.last_was_priority = bool(self.priority_targets) and not self.last_was_priority",
+        "self.last_was_priority = True",
         "suspects are probed and nobody else",
     ),
     _m(
         "dead-not-tried",
         DISCOVERY,
-        "            self._reach_out()\n",
+        "            self._reconnect()\n",
         "",
         "those held dead are never tried again",
     ),
     _m(
         "accusals-kept",
         DISSEMINATION,
-        "            if self.accusals[accusal] >= self.members.tell_most():\n",
+        "            if self.accusations[accusation] >= self.members.transmission_limit():\n",
         "            if False:\n",
         "accusations crowd all other news out",
     ),
     _m(
         "overfull",
         DISSEMINATION,
-        "room = DATAGRAM_MOST - HEAD_BYTES - CLAIM_BYTES - self.members.own.texts",
-        "room = 2 * DATAGRAM_MOST",
+        "room = MAX_DATAGRAM_BYTES - MESSAGE_OVERHEAD_BYTES - CLAIM_FIXED_BYTES - self.members.own.text_bytes",
+        "room = 2 * MAX_DATAGRAM_BYTES",
         "datagrams over their bound",
     ),
     _m(
@@ -716,8 +718,8 @@
     _m(
         "gate-off-by-one",
         GATE,
-        "if share is not None and self.in_hand() + 1 > share:",
-        "if share is not None and self.in_hand() > share:",
+        "if share is not None and self.in_flight() + 1 > share:",
+        "if share is not None and self.in_flight() > share:",
         "one call more than the share",
     ),
     _m(
@@ -730,9 +732,9 @@
     _m(
         "gate-share-kept",
         GATE,
-        "        share = self.share()\n        if share is not None and self.in_hand() + 1 > share:",
+        "        share = self.share()\n        if share is not None and self.in_flight() + 1 > share:",
         "        share = self.kept = max(getattr(self, 'kept', 0), self.share() or 0)\n"
-        "        if share is not None and self.in_hand() + 1 > share:",
+        "        if share is not None and self.in_flight() + 1 > share:",
         "a share once had is kept",
     ),
     _m(
--- a/limeridge/sim/world.py
+++ b/limeridge/sim/world.py
@@ -187,9 +187,9 @@
 
     def linked(self, fleet: Fleet, log: Log) -> Any:
         """The part of membership, on the clock of this machine."""
-        from limeridge.peers.link import Link
-        from limeridge.peers.messages import key_of
-        from limeridge.peers.peer import Habits
+        from limeridge.peers.link import MemberService
+        from limeridge.peers.messages import derive_key
+        from limeridge.peers.peer import Intervals
         from limeridge.peers.setup import PeerSetup
         from limeridge.peers.shares import Terms
 
@@ -211,14 +211,14 @@
             "",
             tuple((instance_ip(number), PEER_PORT) for number in range(min(3, plan.instances))),
             "",
-            key_of("sim", b"sim"),
-            Habits.paced(fleet.interval),
+            derive_key("sim", b"sim"),
+            Intervals.from_probe_interval(fleet.interval),
             terms,
             fleet.linger,
             True,
         )
         nonce = world.chance(f"nonce {self.number} {self.lives}").getrandbits(56)
-        return Link(
+        return MemberService(
             read("config", lambda _: [self.file]),
             peers,
             self.reactor,
@@ -983,7 +983,7 @@
         can = terms.surplus + terms.floor * len(self.machines)
         shares = [each.link.share() for each in self.machines]
         if sum(shares) < 0.95 * can:
-            why = {each.link.peer.holder.why(each.link.clock()) for each in self.machines}
+            why = {each.link.peer.holder.reason(each.link.clock()) for each in self.machines}
             return f"{sum(shares)} calls of {can} are dealt out ({', '.join(sorted(why))})"
         return ""
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -153,11 +153,11 @@
     assert call_connection.transport.sent().startswith(b"POST")
     calls[0].abandon()
     net.lose(call_connection)
-    assert (gate.in_hand(), ledger.connections) == (1, 0), "left behind: the ledger may still work on it"
+    assert (gate.in_flight(), ledger.connections) == (1, 0), "left behind: the ledger may still work on it"
     assert (call(), outcomes[-1])[1] is EndStatus.FULL
     net.pass_time(0.2)
     call()
-    assert (gate.in_hand(), ledger.connections) == (1, 1)
+    assert (gate.in_flight(), ledger.connections) == (1, 1)
 
 
 def test_peers_follow_the_instance_and_their_share_reaches_the_brain() -> None:
