--- a/limeridge/sim/mutants.py
+++ b/limeridge/sim/mutants.py
@@ -135,15 +135,15 @@
     _m(
         "age-lost",
         CALLERS,
-        "age = min(max(0.0, self.callers.unix() * 1_000 - request.sent_at_ms), request.timeout_ms or 60_000.0)",
+        "age = min(max(0.0, self.callers.unix() * 1_000 - message.sent_at_ms), message.timeout_ms or 60_000.0)",
         "age = 0.0",
         "a txn's time on the way is not counted",
     ),
     _m(
         "patience-long",
         CALLERS,
-        "max(0, int((request.timeout_ms - age) * 1_000))",
-        "max(0, int((request.timeout_ms - age) * 1_250))",
+        "max(0, int((message.timeout_ms - age) * 1_000))",
+        "max(0, int((message.timeout_ms - age) * 1_250))",
         "a caller is taken to wait a quarter longer",
     ),
     _m(
@@ -163,15 +163,15 @@
     _m(
         "doc-trimmed",
         CALLERS,
-        "            request.doc,\n            lambda answer",
-        '            request.doc.rstrip("="),\n            lambda answer',
+        "            message.doc,\n            lambda answer",
+        '            message.doc.rstrip("="),\n            lambda answer',
         "the padding of a body is lost",
     ),
     _m(
         "newest-answered",
         CALLERS,
-        "lambda answer: self.send_answer(request.id, answer)",
-        "lambda answer: self.send_answer(max(self.open_txns, default=request.id), answer)",
+        "lambda answer: self.send_answer(message.id, answer)",
+        "lambda answer: self.send_answer(max(self.open_txns, default=message.id), answer)",
         "an answer goes to the newest id of its connection",
     ),
     _m(
