--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -74,6 +74,14 @@
     assert one.digest == other.digest
 
 
+def test_two_departures_of_one_life_merge_to_the_same_table_in_any_order() -> None:
+    """Guards against tables that differ for good. Two LEFT claims of one life have the same rank, whatever
+    their incarnation, so a table keeps the one that arrived first; the digest covers the rank alone and shows
+    no difference, so no table exchange repairs it."""
+    first, second = (Claim("b", Life(1, 1), incarnation, State.LEFT) for incarnation in (0, 1))
+    assert merged_table([first, second]) == merged_table([second, first])
+
+
 def test_newer_life_supersedes_older_life_and_left_is_final() -> None:
     new = Claim("a", Life(2, 7), 0, State.ALIVE)
     for order in permutations(
