--- a/limeridge/duty/allot.py
+++ b/limeridge/duty/allot.py
@@ -102,7 +102,7 @@
             if now - at > 2 * self.terms.lasts:
                 del self.needs[taker]
 
-    def asked(self, taker: str, need: int, now: int) -> int:
+    def handle_request(self, taker: str, need: int, now: int) -> int:
         """Calls granted to `taker` from now on, in place of what it had; it may be told 0."""
         self.needs[taker] = max(0, need), now
         if now < self.begun + self.terms.wait:
--- a/limeridge/duty/allotting.py
+++ b/limeridge/duty/allotting.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from limeridge.duty.allot import Book, Taker, Terms
-from limeridge.duty.ballots import NONE, Token
+from limeridge.duty.ballots import NO_TOKEN, Token
 from limeridge.duty.member import Duties
 
 DUTY = "ledger-allot"
@@ -31,7 +31,7 @@
     seq: int = 0
     asked: dict[int, int] = field(default_factory=dict)  # by number: when it was sent
     book: Book | None = None
-    dealt_under: Token = NONE
+    dealt_under: Token = NO_TOKEN
     out: list[tuple[str, str, int, int, str]] = field(default_factory=list)
     # to, "need" or "grant", number, calls, the life that asked
 
@@ -81,7 +81,7 @@
             return
         if self.book is None or tenure.token != self.dealt_under:
             self.book, self.dealt_under = Book(self.terms, now), tenure.token
-        calls = self.book.asked(key, need, now)
+        calls = self.book.handle_request(key, need, now)
         if taker == self.duties.own:
             self.heard_grant(seq, calls, key)
         else:
--- a/limeridge/duty/ballots.py
+++ b/limeridge/duty/ballots.py
@@ -46,10 +46,12 @@
         return f"{self.name}/{self.nonce:x}"
 
 
-NONE = Token()
-OVER_MOST = 8
-DUTIES_MOST = 64  # of which a voter keeps promises
-PATIENCE = 1.25  # holds from its start until a voter that finds no quorum that remembers votes without one
+NO_TOKEN = Token()
+MAX_RELEASED_TOKENS = 8
+MAX_DUTIES = 64  # of which a voter keeps promises
+RECOVERY_TIMEOUT_FACTOR = (
+    1.25  # holds from its start until a voter that finds no quorum that remembers votes without one
+)
 
 
 @dataclass(slots=True, frozen=True)
@@ -61,7 +63,7 @@
     margin: int = 50_000  # that a holder stops before its lease is over, for the act in hand
 
     @property
-    def hold(self) -> int:
+    def promise_duration(self) -> int:
         """As long as a voter counts it, a lease is surely over for its holder."""
         return int(self.lease * (1 + self.drift) / (1 - self.drift)) + 1
 
@@ -82,20 +84,20 @@
     """Of one voter for one duty."""
 
     terms: Terms
-    token: Token = NONE
+    token: Token = NO_TOKEN
     until: int = 0
-    highest: Token = NONE
+    highest: Token = NO_TOKEN
     over: tuple[Token, ...] = ()  # given back lately: an asking under one of them comes too late
     kept_for: str = ""  # a successor's name that the duty was passed to
     kept_until: int = 0
 
-    def stands(self, now: int) -> bool:
+    def is_active(self, now: int) -> bool:
         """Whether somebody may hold the duty by this promise at `now`."""
-        return self.token != NONE and now < self.until
+        return self.token != NO_TOKEN and now < self.until
 
-    def asked(self, token: Token, now: int) -> Answer:
+    def handle_request(self, token: Token, now: int) -> Answer:
         """A first asking and a renewal alike: a holder asks again under its own token."""
-        if self.stands(now) and self.token != token:
+        if self.is_active(now) and self.token != token:
             return Answer(token, "held", self.highest, self.token.key, self.until - now)
         if token in self.over:
             return Answer(token, "over", self.highest)
@@ -104,22 +106,22 @@
         if now < self.kept_until and token.name != self.kept_for:
             return Answer(token, "kept", self.highest, self.kept_for, self.kept_until - now)
         self.token, self.highest = token, token
-        self.until = now + self.terms.hold
+        self.until = now + self.terms.promise_duration
         self.kept_until = 0
         return Answer(token, "", token)
 
-    def given_back(self, token: Token, successor: str, keep: int, now: int) -> None:
+    def release(self, token: Token, successor: str, keep: int, now: int) -> None:
         """By its holder, which acts no more. For `keep` microseconds only the successor may have it."""
         # Of one that never had it too, and then it must not count against whoever has: a candidate that was
         # refused gives back a token above the holder's.
         if token not in self.over:
-            self.over = (*self.over, token)[-OVER_MOST:]
+            self.over = (*self.over, token)[-MAX_RELEASED_TOKENS:]
         if self.token == token:
-            self.token, self.until = NONE, 0
+            self.token, self.until = NO_TOKEN, 0
             if successor:
                 self.kept_for, self.kept_until = successor, now + keep
 
-    def learned(self, highest: Token) -> None:
+    def observe_token(self, highest: Token) -> None:
         """Raises the highest token that is known of, so that none below it is granted."""
         self.highest = max(self.highest, highest)
 
@@ -138,61 +140,64 @@
         default_factory=dict
     )  # voters that told what they know; True: they remember
 
-    def knows_of(self, duty: str) -> bool:
+    def handles(self, duty: str) -> bool:
         """Whether this voter takes part in that duty; duties that are not declared are bounded in number."""
         return (
             duty in self.promises
             or duty in self.terms
-            or (self.usual is not None and len(self.promises) < DUTIES_MOST)
+            or (self.usual is not None and len(self.promises) < MAX_DUTIES)
         )
 
-    def promise(self, duty: str) -> Promise:
+    def promise_for(self, duty: str) -> Promise:
         """Of a duty that it `knows_of`."""
         if duty not in self.promises:
             self.promises[duty] = Promise(self.terms.get(duty) or self.usual or Terms())
         return self.promises[duty]
 
-    def silent(self, now: int) -> bool:
+    def is_silent(self, now: int) -> bool:
         """Whether a lease that an earlier life under its name granted may still run."""
-        return now < self.born + self.longest
+        return now < self.born + self.max_promise_duration
 
     @property
-    def longest(self) -> int:
+    def max_promise_duration(self) -> int:
         """The longest that any lease may run by our clock, microseconds."""
         usual = [] if self.usual is None else [self.usual]
-        return max((each.hold for each in [*self.terms.values(), *usual]), default=0)
+        return max((each.promise_duration for each in [*self.terms.values(), *usual]), default=0)
 
-    def remembers(self) -> bool:
+    def has_recovered(self) -> bool:
         """Whether each token that a quorum granted before is known here: a quorum of others, of which one at
         least granted it too, told what they know."""
         return sum(each for name, each in self.told.items() if name != self.own) >= self.quorum
 
-    def votes(self, now: int) -> bool:
+    def can_vote(self, now: int) -> bool:
         """Whether it may answer: not silent, and a quorum remembers, or it waited long enough for one."""
-        return not self.silent(now) and (self.remembers() or now >= self.born + int(PATIENCE * self.longest))
+        return not self.is_silent(now) and (
+            self.has_recovered()
+            or now >= self.born + int(RECOVERY_TIMEOUT_FACTOR * self.max_promise_duration)
+        )
 
-    def asked(self, duty: str, token: Token, now: int) -> Answer | None:
+    def handle_request(self, duty: str, token: Token, now: int) -> Answer | None:
         """None where it must keep silent, or knows of no such duty."""
-        if not self.knows_of(duty) or not self.votes(now):
+        if not self.handles(duty) or not self.can_vote(now):
             return None
-        return self.promise(duty).asked(token, now)
+        return self.promise_for(duty).handle_request(token, now)
 
-    def given_back(self, duty: str, token: Token, successor: str, keep: int, now: int) -> None:
+    def release(self, duty: str, token: Token, successor: str, keep: int, now: int) -> None:
         """Frees a duty that its holder gave up; for `keep` microseconds only `successor` is granted it, if
         one is named."""
-        if self.knows_of(duty):
-            self.promise(duty).given_back(token, successor, keep, now)
+        if self.handles(duty):
+            self.promise_for(duty).release(token, successor, keep, now)
 
-    def hears(self, voter: str, remembers: bool, highest: dict[str, Token], now: int) -> None:
+    def observe_voter(self, voter: str, remembers: bool, highest: dict[str, Token], now: int) -> None:
         """Another voter's word: the highest tokens that it knows of, and whether it remembers all. While we
         are silent it counts for nothing: an asking that our older life granted may still be on its way to
         that voter, and make a quorum of the two after it told us."""
-        if not self.silent(now):
+        if not self.is_silent(now):
             self.told[voter] = self.told.get(voter, False) or remembers
         for duty, token in highest.items():
-            if self.knows_of(duty):
-                self.promise(duty).learned(token)
+            if self.handles(duty):
+                self.promise_for(duty).observe_token(token)
 
-    def knows(self) -> dict[str, Token]:
+    def highest_tokens(self) -> dict[str, Token]:
         """The highest token known of each duty."""
-        return {duty: each.highest for duty, each in self.promises.items() if each.highest != NONE}
+        return {duty: each.highest for duty, each in self.promises.items() if each.highest != NO_TOKEN}
--- a/limeridge/duty/check.py
+++ b/limeridge/duty/check.py
@@ -27,8 +27,8 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from limeridge.duty.ballots import NONE, PATIENCE, Answer, Promise, Terms, Token, Voter
-from limeridge.duty.electorate import Electorate, Standing
+from limeridge.duty.ballots import NO_TOKEN, RECOVERY_TIMEOUT_FACTOR, Answer, Promise, Terms, Token, Voter
+from limeridge.duty.electorate import Electorate, VersionTracker
 from limeridge.duty.tenure import Tenure
 
 DUTY = "d"
@@ -109,9 +109,9 @@
 class VoterState(NamedTuple):
     """What one voter holds, each time as the ticks that are left of it."""
 
-    token: Token = NONE
+    token: Token = NO_TOKEN
     left: int = 0  # of the promise
-    highest: Token = NONE
+    highest: Token = NO_TOKEN
     over: tuple[Token, ...] = ()
     silent: int = 0  # ticks of silence left after a start
     patience: int = 0  # until it votes without a quorum that remembers
@@ -124,9 +124,9 @@
 class TenureState(NamedTuple):
     """What one candidate holds; `begins` is how often it may still ask anew."""
 
-    token: Token = NONE
+    token: Token = NO_TOKEN
     given: bool = False
-    known: Token = NONE
+    known: Token = NO_TOKEN
     begins: int = 0
 
 
@@ -166,8 +166,8 @@
         """The state in which nothing has happened."""
         scope, none = self.scope, (-1,) * self.count
         return State(
-            0, scope.ticks, scope.renewals, scope.gives, scope.restarts, scope.doubled, scope.drifts, NONE,
-            (VoterState(granted=none),) * scope.voters,
+            0, scope.ticks, scope.renewals, scope.gives, scope.restarts, scope.doubled, scope.drifts,
+            NO_TOKEN, (VoterState(granted=none),) * scope.voters,
             tuple(TenureState(begins=begins) for begins in scope.begins),
         )  # fmt: skip
 
@@ -177,23 +177,25 @@
         """A candidate's tenure as the program has it, made anew at NOW from what the state keeps."""
         kept = state.tenures[number]
         tenure = Tenure(self.terms, NAMES[number], number + 1, self.quorum, kept.token)
-        tenure.given, tenure.known = kept.given, kept.known
+        tenure.released, tenure.highest_known = kept.given, kept.known
         for place, voter in enumerate(state.voters):
             if voter.granted[number] >= 0:
-                tenure.granted[str(place)] = NOW + voter.granted[number] - self.terms.lease
+                tenure.granted_at[str(place)] = NOW + voter.granted[number] - self.terms.lease
         return tenure
 
     def keep(self, state: State, number: int, tenure: Tenure, begun: int = 0) -> State:
         """The state with what a tenure holds now; `begun` is how many askings anew it used up."""
         lease, voters = self.terms.lease, []
         for place, voter in enumerate(state.voters):
-            at = tenure.granted.get(str(place))
+            at = tenure.granted_at.get(str(place))
             left = -1 if at is None or at + lease <= NOW else at + lease - NOW
             if left != voter.granted[number]:
                 granted = (*voter.granted[:number], left, *voter.granted[number + 1 :])
                 voter = voter._replace(granted=granted)
             voters.append(voter)
-        kept = TenureState(tenure.token, tenure.given, tenure.known, state.tenures[number].begins - begun)
+        kept = TenureState(
+            tenure.token, tenure.released, tenure.highest_known, state.tenures[number].begins - begun
+        )
         tenures = (*state.tenures[:number], kept, *state.tenures[number + 1 :])
         return state._replace(voters=tuple(voters), tenures=tenures)
 
@@ -205,8 +207,8 @@
             voter.told = {f"{n} then": True for n in range(self.quorum)}
         else:
             # Born so long ago that as much of its silence, or of its patience, is left.
-            longest = Voter(name, terms, self.quorum, 0).longest
-            patience = int(PATIENCE * longest)
+            longest = Voter(name, terms, self.quorum, 0).max_promise_duration
+            patience = int(RECOVERY_TIMEOUT_FACTOR * longest)
             born = NOW - longest + kept.silent if kept.silent else NOW - patience + kept.patience
             voter = Voter(name, terms, self.quorum, born)
             voter.told = {str(n): True for n in range(self.scope.voters) if kept.told >> n & 1}
@@ -220,7 +222,7 @@
         holders = [
             number
             for number, kept in enumerate(state.tenures)
-            if kept.token != NONE and not kept.given and self.tenure(state, number).holds(NOW)
+            if kept.token != NO_TOKEN and not kept.given and self.tenure(state, number).holds(NOW)
         ]
         if len(holders) > 1:
             return "two hold it: " + " and ".join(
@@ -261,7 +263,9 @@
         while turn < self.last:
             if turn < count:
                 kept = state.tenures[turn]
-                if kept.begins or ((state.renewals or state.gives) and kept.token != NONE and not kept.given):
+                if kept.begins or (
+                    (state.renewals or state.gives) and kept.token != NO_TOKEN and not kept.given
+                ):
                     break
             elif turn < count + voters:
                 voter = state.voters[turn - count]
@@ -280,8 +284,8 @@
         holds = tenure.holds(NOW)
         if kept.begins and not holds:
             after = state
-            if kept.token != NONE and not kept.given:
-                after = self.sent(after, Ask(number, tenure.give_back(), self.terms.hold, True))
+            if kept.token != NO_TOKEN and not kept.given:
+                after = self.sent(after, Ask(number, tenure.release(), self.terms.promise_duration, True))
             tenure.begin(self.scope.unix[number], NOW)
             after = self.keep(after, number, tenure, begun=1)
             after = self.sent(after, Ask(number, tenure.token, self.terms.lease))
@@ -293,9 +297,12 @@
                 self.sent(after, Ask(number, tenure.token, self.terms.lease)),
             )
         if holds and state.gives:
-            token = tenure.give_back()
+            token = tenure.release()
             after = self.keep(state._replace(gives=state.gives - 1), number, tenure)
-            yield ("gives back", number, token), self.sent(after, Ask(number, token, self.terms.hold, True))
+            yield (
+                ("gives back", number, token),
+                self.sent(after, Ask(number, token, self.terms.promise_duration, True)),
+            )
 
     def sent(self, state: State, ask: Ask) -> State:
         """The state with an asking on its way to every voter."""
@@ -311,9 +318,9 @@
         kept = state.voters[place]
         yield from self.asked(state, place, kept)
         if state.restarts:
-            longest = Voter("", {DUTY: self.terms}, self.quorum, 0).longest
+            longest = Voter("", {DUTY: self.terms}, self.quorum, 0).max_promise_duration
             new = VoterState(
-                silent=longest, patience=int(PATIENCE * longest), told=0, asks=kept.asks,
+                silent=longest, patience=int(RECOVERY_TIMEOUT_FACTOR * longest), told=0, asks=kept.asks,
                 replies=kept.replies, granted=kept.granted,
             )  # fmt: skip
             yield ("restarts", place), self.put(state._replace(restarts=state.restarts - 1), place, new)
@@ -327,20 +334,20 @@
             rest = tuple(each for each in kept.asks if each != ask)
             voter = self.voter(kept, str(place))
             if ask.gives:
-                voter.given_back(DUTY, ask.token, "", 0, NOW)
+                voter.release(DUTY, ask.token, "", 0, NOW)
                 answer, told = None, "hears that it was given back"
             else:
-                answer = voter.asked(DUTY, ask.token, NOW)
+                answer = voter.handle_request(DUTY, ask.token, NOW)
                 told = "is silent" if answer is None else answer.why or "grants"
             replies, reply = kept.replies, None
             if answer is not None:
                 reply = Reply(ask.candidate, answer.token, answer.why, answer.highest, ask.left)
                 if self.scope.late and reply not in replies:
                     replies = tuple(sorted((*replies, reply)))
-            promise = voter.promise(DUTY)
-            left = max(0, promise.until - NOW) if promise.stands(NOW) else 0
+            promise = voter.promise_for(DUTY)
+            left = max(0, promise.until - NOW) if promise.is_active(NOW) else 0
             new = kept._replace(
-                token=promise.token if left else NONE, left=left, highest=promise.highest,
+                token=promise.token if left else NO_TOKEN, left=left, highest=promise.highest,
                 over=promise.over, asks=rest, replies=replies,
             )  # fmt: skip
             what = ("is asked", place, ask.candidate, ask.token, told)
@@ -361,8 +368,8 @@
             remembers = source.told < 0 or bin(source.told).count("1") >= self.quorum
             if other != place and remembers and not kept.told >> other & 1:
                 voter = self.voter(kept, str(place))
-                voter.hears(str(other), True, {DUTY: source.highest}, NOW)
-                new = kept._replace(told=kept.told | 1 << other, highest=voter.promise(DUTY).highest)
+                voter.observe_voter(str(other), True, {DUTY: source.highest}, NOW)
+                new = kept._replace(told=kept.told | 1 << other, highest=voter.promise_for(DUTY).highest)
                 yield ("hears what is known to", place, other), self.put(state, place, new)
 
     @staticmethod
@@ -408,7 +415,7 @@
             left = max(0, kept.left - mine)
             voters.append(
                 kept._replace(
-                    token=kept.token if left else NONE,
+                    token=kept.token if left else NO_TOKEN,
                     left=left,
                     silent=max(0, kept.silent - mine),
                     patience=max(0, kept.patience - mine),
@@ -532,7 +539,7 @@
             Electorate(number + 1, each, sets[number - 1] if number else ())
             for number, each in enumerate(sets)
         ]
-        if any(each.faults() for each in electorates):
+        if any(each.validation_error() for each in electorates):
             continue
         everybody = sorted({name for each in sets for name in each})
         for at in _assignments(len(everybody), versions):
@@ -552,10 +559,10 @@
     voting = 0
     for name in electorate.voters:
         if version[name] == electorate.version:
-            standing = Standing(electorate)
+            version_tracker = VersionTracker(electorate)
             for other, each in version.items():
-                standing.hears(other, each)
-            voting += standing.settled(name)
+                version_tracker.observe_version(other, each)
+            voting += version_tracker.is_safe_to_vote(name)
     return voting >= electorate.quorum
 
 
@@ -586,60 +593,61 @@
 
 def answered(tenure: Tenure, voter: str, answer: Answer, asked_at: int) -> None:
     """Hands an answer to a tenure; a function of its own so that a mistake can be put in its place."""
-    tenure.answered(voter, answer, asked_at)
+    tenure.handle_answer(voter, answer, asked_at)
 
 
 ANSWERED: Callable[[Tenure, str, Answer, int], None] = answered
 
 
 def _from_answer(tenure: Tenure, voter: str, answer: Answer, asked_at: int) -> None:
-    tenure.answered(voter, answer, NOW)
+    tenure.handle_answer(voter, answer, NOW)
 
 
 def _any_token(tenure: Tenure, voter: str, answer: Answer, asked_at: int) -> None:
-    tenure.answered(voter, Answer(tenure.token, answer.why, answer.highest), asked_at)
+    tenure.handle_answer(voter, Answer(tenure.token, answer.why, answer.highest), asked_at)
 
 
 def _clock_alone(self: Tenure, unix: int, now: int) -> Token:
     self.token = Token(unix, self.name, self.nonce)
-    self.granted, self.refused, self.given = {}, {}, False
+    self.granted_at, self.refusals, self.released = {}, {}, False
     return self.token
 
 
 def _any_order(self: Promise, token: Token, now: int) -> Answer:
-    if self.stands(now) and self.token != token:
+    if self.is_active(now) and self.token != token:
         return Answer(token, "held", self.highest, self.token.key)
-    self.token, self.until = token, now + self.terms.hold
+    self.token, self.until = token, now + self.terms.promise_duration
     return Answer(token, "", token)
 
 
 def _twice(self: Tenure) -> int:
     """One voter's answer, and the same once more, make two."""
-    latest = sorted([*self.granted.values(), *self.granted.values()], reverse=True)
-    return 0 if self.given or len(latest) < self.quorum else latest[self.quorum - 1] + self.terms.lease
+    latest = sorted([*self.granted_at.values(), *self.granted_at.values()], reverse=True)
+    return 0 if self.released or len(latest) < self.quorum else latest[self.quorum - 1] + self.terms.lease
 
 
 def _reach(self: Tenure) -> int:
     """A majority of those that answered."""
-    latest = sorted(self.granted.values(), reverse=True)
-    most = len(self.granted) // 2 + 1
-    return 0 if self.given or not latest else latest[min(most, len(latest)) - 1] + self.terms.lease
+    latest = sorted(self.granted_at.values(), reverse=True)
+    most = len(self.granted_at) // 2 + 1
+    return 0 if self.released or not latest else latest[min(most, len(latest)) - 1] + self.terms.lease
 
 
 SETS = "sets"  # not a scope: all ways that files may go on
 MISTAKES: dict[str, tuple[str, str, list[tuple[Any, str, Any]]]] = {
     "no-silence": ("restarted", "a voter that has started votes at once", [
-        (Voter, "votes", lambda self, now: True)]),
+        (Voter, "can_vote", lambda self, now: True)]),
     "from-the-answer": ("late", "a holder's time runs from the answer", []),
     "no-drift": ("plain", "a voter counts no longer than the holder", [
-        (Terms, "hold", property(lambda self: self.lease))]),
+        (Terms, "promise_duration", property(lambda self: self.lease))]),
     "clock-token": ("again", "a token is the Unix time and nothing else", [
-        (Tenure, "begin", _clock_alone), (Promise, "asked", _any_order)]),
-    "counted-twice": ("renewed", "two answers of one voter count as two", [(Tenure, "until", _twice)]),
+        (Tenure, "begin", _clock_alone), (Promise, "handle_request", _any_order)]),
+    "counted-twice": ("renewed", "two answers of one voter count as two", [(Tenure, "expires_at", _twice)]),
     "old-ballot": ("both-again", "an answer to an older asking counts", []),
-    "those-in-reach": ("plain", "a majority of those who answered is enough", [(Tenure, "until", _reach)]),
+    "those-in-reach": ("plain", "a majority of those who answered is enough", [
+        (Tenure, "expires_at", _reach)]),
     "old-set": (SETS, "a voter of a new set does not wait for the old one to be gone", [
-        (Standing, "settled", lambda self, own: True)]),
+        (VersionTracker, "is_safe_to_vote", lambda self, own: True)]),
 }  # fmt: skip
 
 
--- a/limeridge/duty/electorate.py
+++ b/limeridge/duty/electorate.py
@@ -16,7 +16,7 @@
 
 from dataclasses import dataclass, field
 
-VOTERS_MOST = 15
+MAX_VOTERS = 15
 
 
 @dataclass(slots=True, frozen=True)
@@ -25,7 +25,7 @@
 
     version: int
     voters: tuple[str, ...]
-    before: tuple[str, ...] = ()  # of the version before, from version 2 on
+    previous_voters: tuple[str, ...] = ()  # of the version before, from version 2 on
     doubles: int = 0  # names that two processes may hold at once
 
     @property
@@ -34,65 +34,68 @@
         return (len(self.voters) + self.doubles) // 2 + 1
 
     @property
-    def quorum_before(self) -> int:
+    def previous_quorum(self) -> int:
         """As `quorum`, of the voters of the version before."""
-        return (len(self.before) + self.doubles) // 2 + 1
+        return (len(self.previous_voters) + self.doubles) // 2 + 1
 
-    def faults(self) -> str:
+    def validation_error(self) -> str:
         """What is wrong with it, in words; empty where nothing is."""
         if not self.voters:
             return "expected a voter or more"
         if len(set(self.voters)) < len(self.voters):
             return "expected each voter once"
-        if len(self.voters) > VOTERS_MOST:
-            return f"expected {VOTERS_MOST} voters at most, got {len(self.voters)}"
+        if len(self.voters) > MAX_VOTERS:
+            return f"expected {MAX_VOTERS} voters at most, got {len(self.voters)}"
         if self.quorum > len(self.voters):
             return f"expected more voters: {self.quorum} of {len(self.voters)} would be needed"
         if self.version < 1:
             return "expected a version from 1 on"
         if self.version == 1:
-            return "expected no `before` in version 1" if self.before else ""
-        changed = set(self.voters) ^ set(self.before)
+            return "expected no `before` in version 1" if self.previous_voters else ""
+        changed = set(self.voters) ^ set(self.previous_voters)
         if len(changed) != 1:
-            told = ", ".join(sorted(changed)) or "none"
-            return f"expected one voter more or one less than before, got {len(changed)} changes ({told})"
+            names = ", ".join(sorted(changed)) or "none"
+            return f"expected one voter more or one less than before, got {len(changed)} changes ({names})"
         return ""
 
 
 @dataclass(slots=True)
-class Standing:
+class VersionTracker:
     """What one process knows of the others' versions."""
 
     electorate: Electorate
     versions: dict[str, int] = field(default_factory=dict)
 
-    def hears(self, name: str, version: int) -> None:
+    def observe_version(self, name: str, version: int) -> None:
         """The version that a process of this name runs; it may go back where the name's file did, which is
         shown and not believed."""
         self.versions[name] = max(version, self.versions.get(name, 0))
 
-    def settled(self, own: str) -> bool:
+    def is_safe_to_vote(self, own: str) -> bool:
         """Whether no quorum of the version before the last one can be left: we may vote."""
         electorate = self.electorate
         if electorate.version <= 2:
             # Version 1 has nothing before it, and version 2's only neighbour is version 1.
             return True
-        at = sum(
-            name == own or self.versions.get(name, 0) >= electorate.version - 1 for name in electorate.before
+        updated = sum(
+            name == own or self.versions.get(name, 0) >= electorate.version - 1
+            for name in electorate.previous_voters
         )
-        return at >= electorate.quorum_before
+        return updated >= electorate.previous_quorum
 
-    def counts(self, voter: str, version: int) -> bool:
+    def accepts_vote(self, voter: str, version: int) -> bool:
         """Whether a vote given under `version` counts for us."""
         return voter in self.electorate.voters and version == self.electorate.version
 
-    def newer(self) -> int:
+    def newer_version(self) -> int:
         """The highest version that somebody runs above ours; 0 where there is none. Who sees one asks for
         nothing any more: its set is of the past."""
         highest = max(self.versions.values(), default=0)
         return highest if highest > self.electorate.version else 0
 
-    def next_allowed(self) -> bool:
+    def is_next_version_allowed(self) -> bool:
         """Whether the settings may go on to another version: a quorum of this one's set is at it."""
-        at = sum(self.versions.get(name, 0) >= self.electorate.version for name in self.electorate.voters)
-        return at >= self.electorate.quorum
+        updated = sum(
+            self.versions.get(name, 0) >= self.electorate.version for name in self.electorate.voters
+        )
+        return updated >= self.electorate.quorum
--- a/limeridge/duty/member.py
+++ b/limeridge/duty/member.py
@@ -13,8 +13,8 @@
 from typing import Protocol
 
 from limeridge.duty import words
-from limeridge.duty.ballots import NONE, Answer, Terms, Token, Voter
-from limeridge.duty.electorate import Electorate, Standing
+from limeridge.duty.ballots import NO_TOKEN, Answer, Terms, Token, Voter
+from limeridge.duty.electorate import Electorate, VersionTracker
 from limeridge.duty.seek import Seeker, Waits
 from limeridge.duty.tenure import Tenure
 
@@ -81,7 +81,7 @@
         terms = {name: each.terms for name, each in self.declared.items()}
         self.is_voter = own in electorate.voters
         self.voter = Voter(own, terms, electorate.quorum, now, usual)
-        self.standing = Standing(electorate)
+        self.version_tracker = VersionTracker(electorate)
         self.tenures = {
             name: Tenure(each.terms, own, nonce, electorate.quorum) for name, each in self.declared.items()
         }
@@ -99,7 +99,7 @@
         self.events: list[Event] = []
         self.present: tuple[str, ...] = (own,)
         self.leaving = self.doubts = False
-        self.next_recall = now + self.voter.longest  # what is told before counts for nothing
+        self.next_recall = now + self.voter.max_promise_duration  # what is told before counts for nothing
 
     # ---- what the work sees
 
@@ -114,8 +114,8 @@
     def refused(self, duty: str, highest: Token, now: int) -> None:
         """The resource knows of a newer token than ours: ours is over, whatever the voters said."""
         tenure = self.tenures[duty]
-        tenure.learned(highest)
-        if tenure.token != NONE and not tenure.given and highest > tenure.token:
+        tenure.observe_token(highest)
+        if tenure.token != NO_TOKEN and not tenure.released and highest > tenure.token:
             self._give_back(duty, "refused", now)
 
     def holder(self, duty: str, now: int) -> str:
@@ -131,15 +131,15 @@
         for name, each in self.declared.items():
             tenure, word = self.tenures[name], self.word.get(name)
             ours = tenure.holds(now)
-            token = tenure.token if ours else word.token if word is not None else tenure.known
-            left = tenure.left(now) if ours else max(0, word.until - now) if word is not None else 0
+            token = tenure.token if ours else word.token if word is not None else tenure.highest_known
+            left = tenure.remaining(now) if ours else max(0, word.until - now) if word is not None else 0
             rows.append(
                 {
                     "duty": name,
                     "holder": self.holder(name, now),
                     "token": token.number,
                     "left_s": round(left / 1e6, 2),
-                    "granted_by": sorted(tenure.granted) if ours else [],
+                    "granted_by": sorted(tenure.granted_at) if ours else [],
                     "why": self.why.get(name, ""),
                     "meanwhile": each.meanwhile,
                 }
@@ -147,9 +147,9 @@
         return {
             "version": self.electorate.version,
             "voters": list(self.electorate.voters),
-            "votes": self.is_voter and self.voter.votes(now),
-            "newer_set": self.standing.newer(),
-            "next_set_allowed": self.standing.next_allowed(),
+            "votes": self.is_voter and self.voter.can_vote(now),
+            "newer_set": self.version_tracker.newer_version(),
+            "next_set_allowed": self.version_tracker.is_next_version_allowed(),
             "duties": rows,
         }
 
@@ -163,9 +163,9 @@
             seeker.wakes_at(self.present, self.tenures[name].holds(now), now)
             for name, seeker in self.seekers.items()
         ]
-        times += [tenure.until() for tenure in self.tenures.values() if tenure.holds(now)]
+        times += [tenure.expires_at() for tenure in self.tenures.values() if tenure.holds(now)]
         times += [word.until for word in self.word.values() if word.until > now]
-        if self.is_voter and not self.voter.remembers():
+        if self.is_voter and not self.voter.has_recovered():
             times.append(self.next_recall)
         return max(now + 1, min(times, default=1 << 62))
 
@@ -174,8 +174,8 @@
         if self.leaving:
             return
         self.present = present
-        if self.is_voter and not self.voter.remembers() and now >= self.next_recall:
-            self.next_recall = now + max(1, self.voter.longest // RECALLS)
+        if self.is_voter and not self.voter.has_recovered() and now >= self.next_recall:
+            self.next_recall = now + max(1, self.voter.max_promise_duration // RECALLS)
             for name in self._others():
                 self.out.append((name, words.Recall(self.electorate.version)))
         for name in self.declared:
@@ -193,10 +193,10 @@
         if tenure.holds(now):
             return
         if seeker.late(now):
-            left = max((each.left for each in tenure.refused.values()), default=0)
+            left = max((each.left for each in tenure.refusals.values()), default=0)
             self._withdraw(duty, now)
             seeker.failed(now, left)
-        if self.standing.newer() or not self._able(duty, now):
+        if self.version_tracker.newer_version() or not self._able(duty, now):
             return
         if seeker.asks(self.present, now):
             self._withdraw(duty, now)
@@ -217,7 +217,7 @@
     def _keep(self, duty: str, now: int) -> None:
         """We hold it: go on, hand it on, or give it up."""
         seeker = self.seekers[duty]
-        if self.standing.newer():
+        if self.version_tracker.newer_version():
             self._give_back(duty, "newer-set", now)
         elif not self._able(duty, now):
             self._give_back(duty, "slow" if self.doubts else "unable", now, seeker.heir(self.present))
@@ -247,14 +247,14 @@
     def _withdraw(self, duty: str, now: int, successor: str = "") -> None:
         """Voters that granted are free again; the token is used no more."""
         tenure = self.tenures[duty]
-        if tenure.token == NONE or tenure.given:
+        if tenure.token == NO_TOKEN or tenure.released:
             return
         keep = self.seekers[duty].waits.answer * 2 if successor else 0
-        back = words.Back(duty, tenure.give_back(), successor, keep)
+        back = words.Back(duty, tenure.release(), successor, keep)
         for name in self._others():
             self.out.append((name, back))
         if self.is_voter:
-            self.voter.given_back(duty, back.token, successor, keep, now)
+            self.voter.release(duty, back.token, successor, keep, now)
 
     def _give_back(self, duty: str, why: str, now: int, successor: str = "") -> None:
         token = self.tenures[duty].token
@@ -273,7 +273,7 @@
 
     def _tell(self, duty: str, now: int) -> None:
         tenure = self.tenures[duty]
-        left = tenure.left(now)
+        left = tenure.remaining(now)
         if left:
             self.out.append(("", words.Held(duty, tenure.token, left, self.notes.get(duty, b""))))
 
@@ -304,38 +304,40 @@
     def heard(self, sender: str, body: words.Body, unix: int, now: int) -> None:
         """`sender` is a member's name."""
         if isinstance(body, words.Ask):
-            self.standing.hears(sender, body.version)
+            self.version_tracker.observe_version(sender, body.version)
             self._vote(sender, body, now)
         elif isinstance(body, words.Answer):
-            self.standing.hears(sender, body.version)
+            self.version_tracker.observe_version(sender, body.version)
             self._answered(sender, body, now)
         elif isinstance(body, words.Back):
             if self.is_voter and body.token.name == sender:
-                keep = min(body.keep, self.voter.longest)
-                self.voter.given_back(body.duty, body.token, body.successor, keep, now)
+                keep = min(body.keep, self.voter.max_promise_duration)
+                self.voter.release(body.duty, body.token, body.successor, keep, now)
         elif isinstance(body, words.Take):
             self._take(body, unix, now)
         elif isinstance(body, words.Held):
             self._word(sender, body, now)
         elif isinstance(body, words.Recall):
-            self.standing.hears(sender, body.version)
+            self.version_tracker.observe_version(sender, body.version)
             if self.is_voter:
-                knows = self.voter.knows()
-                remembers = self.voter.votes(now) and self.voter.remembers()
+                knows = self.voter.highest_tokens()
+                remembers = self.voter.can_vote(now) and self.voter.has_recovered()
                 self.out.append((sender, words.Known(self.electorate.version, remembers, knows)))
         elif isinstance(body, words.Known):
-            self.standing.hears(sender, body.version)
+            self.version_tracker.observe_version(sender, body.version)
             if self.is_voter and sender in self.electorate.voters:
-                self.voter.hears(sender, body.remembers, body.highest, now)
+                self.voter.observe_voter(sender, body.remembers, body.highest, now)
 
     def _vote(self, sender: str, ask: words.Ask, now: int) -> None:
         if not self.is_voter or self.leaving:
             return
-        if not self.standing.counts(self.own, ask.version) or not self.standing.settled(self.own):
+        if not self.version_tracker.accepts_vote(
+            self.own, ask.version
+        ) or not self.version_tracker.is_safe_to_vote(self.own):
             return
         if ask.token.name != sender:
             return
-        answer = self.voter.asked(ask.duty, ask.token, now)
+        answer = self.voter.handle_request(ask.duty, ask.token, now)
         if answer is None:
             return
         told = words.Answer(
@@ -349,32 +351,38 @@
 
     def _answered(self, voter: str, told: words.Answer, now: int) -> None:
         asked = self.seqs.get(told.seq)
-        if asked is None or asked[0] != told.duty or not self.standing.counts(voter, told.version):
+        if (
+            asked is None
+            or asked[0] != told.duty
+            or not self.version_tracker.accepts_vote(voter, told.version)
+        ):
             return
         duty, asked_at = asked
         tenure, seeker = self.tenures[duty], self.seekers[duty]
         self._lapse(duty, now)
-        tenure.answered(voter, Answer(told.token, told.why, told.highest, told.holder, told.left), asked_at)
+        tenure.handle_answer(
+            voter, Answer(told.token, told.why, told.highest, told.holder, told.left), asked_at
+        )
         if tenure.holds(now):
             if duty not in self.held_since:
                 self.held_since[duty] = now
                 self.why[duty] = "granted"
                 seeker.had()
-                self._log("granted", duty, token=tenure.token.number, after=now - tenure.asked_at)
+                self._log("granted", duty, token=tenure.token.number, after=now - tenure.requested_at)
                 self._tell(duty, now)
-        elif seeker.asked_at >= 0 and tenure.hopeless(len(self.electorate.voters)):
-            left = max((each.left for each in tenure.refused.values()), default=0)
-            behind = any(each.why == "behind" for each in tenure.refused.values())
+        elif seeker.asked_at >= 0 and tenure.is_quorum_unreachable(len(self.electorate.voters)):
+            left = max((each.left for each in tenure.refusals.values()), default=0)
+            behind = any(each.why == "behind" for each in tenure.refusals.values())
             self._withdraw(duty, now)
             seeker.failed(now, 0 if behind else left)
 
     def _take(self, take: words.Take, unix: int, now: int) -> None:
         """The holder gave it back for us: we ask at once, above its token."""
-        if take.duty not in self.declared or self.leaving or self.standing.newer():
+        if take.duty not in self.declared or self.leaving or self.version_tracker.newer_version():
             return
         tenure, seeker = self.tenures[take.duty], self.seekers[take.duty]
         self._lapse(take.duty, now)
-        tenure.learned(take.token)
+        tenure.observe_token(take.token)
         word = self.word.get(take.duty)
         if word is not None and word.token <= take.token:
             del self.word[take.duty]
@@ -388,12 +396,12 @@
     def _word(self, sender: str, held: words.Held, now: int) -> None:
         if held.token.name != sender:
             return
-        if self.is_voter and self.voter.knows_of(held.duty):
-            self.voter.promise(held.duty).learned(held.token)
+        if self.is_voter and self.voter.handles(held.duty):
+            self.voter.promise_for(held.duty).observe_token(held.token)
         if held.duty not in self.declared:
             return
         tenure, known = self.tenures[held.duty], self.word.get(held.duty)
-        tenure.learned(held.token)
+        tenure.observe_token(held.token)
         if known is not None and held.token < known.token:
             return
         left = min(held.left, self.declared[held.duty].terms.lease)
--- a/limeridge/peers/setup.py
+++ b/limeridge/peers/setup.py
@@ -102,7 +102,7 @@
                     f"duties.{place}[{number}]", f"expected a name of 1 to {NAME_MOST} characters"
                 )
     checked.number("duties.version", duties.version, 1, 1_000_000, "a version")
-    if wrong := _electorate(duties).faults():
+    if wrong := _electorate(duties).validation_error():
         place = "before" if "change" in wrong or "before" in wrong else "voter"
         raise checked.refuse(f"duties.{place}", wrong)
     lease = duties.lease_ms or 3_000
--- a/limeridge/sim/duties.py
+++ b/limeridge/sim/duties.py
@@ -15,7 +15,7 @@
 from limeridge.duty import allot
 from limeridge.duty.allot import Taker
 from limeridge.duty.allotting import DUTY, Allotting
-from limeridge.duty.ballots import NONE, Terms, Token
+from limeridge.duty.ballots import NO_TOKEN, Terms, Token
 from limeridge.duty.delegate import DutyDelegate
 from limeridge.duty.electorate import Electorate
 from limeridge.duty.member import Declared, Duties
@@ -42,7 +42,7 @@
     """What was done there. `acts`: true time, who, token."""
 
     checks: bool
-    highest: Token = NONE
+    highest: Token = NO_TOKEN
     stale: int = 0
     acts: list[tuple[int, str, Token]] = field(default_factory=list)
 
--- a/tests/test_duty.py
+++ b/tests/test_duty.py
@@ -13,8 +13,8 @@
 
 from limeridge.cli.duty import check as check_command
 from limeridge.duty import allot, check, words
-from limeridge.duty.ballots import NONE, PATIENCE, Promise, Terms, Token, Voter
-from limeridge.duty.electorate import Electorate, Standing
+from limeridge.duty.ballots import NO_TOKEN, RECOVERY_TIMEOUT_FACTOR, Promise, Terms, Token, Voter
+from limeridge.duty.electorate import Electorate, VersionTracker
 from limeridge.duty.member import Declared, Duties
 from limeridge.duty.probe import Outlook, Pace, State
 from limeridge.duty.seek import Seeker, Waits
@@ -35,51 +35,68 @@
 
 def test_a_promise_is_to_one_until_it_lapses_or_is_given_back() -> None:
     promise = Promise(TERMS)
-    assert promise.asked(token(5), 0).why == ""
-    refused = promise.asked(token(9, "y"), TERMS.hold - 1)
+    assert promise.handle_request(token(5), 0).why == ""
+    refused = promise.handle_request(token(9, "y"), TERMS.promise_duration - 1)
     assert (refused.why, refused.holder, refused.left) == ("held", token(5).key, 1)
-    assert promise.asked(token(5), TERMS.hold - 1).why == "", "its holder asks again"
-    assert promise.asked(token(9, "y"), TERMS.hold).why == "held", "and has it for as long again"
-    assert promise.asked(token(4, "y"), 2 * TERMS.hold).why == "behind", "lapsed, but the token is older"
-    promise.given_back(token(5), "", 0, 2 * TERMS.hold)
-    assert promise.asked(token(5), 2 * TERMS.hold).why == "over", "a late asking of one that gave back"
-    assert promise.asked(token(6, "y"), 2 * TERMS.hold).why == ""
+    assert promise.handle_request(token(5), TERMS.promise_duration - 1).why == "", "its holder asks again"
+    assert promise.handle_request(token(9, "y"), TERMS.promise_duration).why == "held", (
+        "and has it for as long again"
+    )
+    assert promise.handle_request(token(4, "y"), 2 * TERMS.promise_duration).why == "behind", (
+        "lapsed, but the token is older"
+    )
+    promise.release(token(5), "", 0, 2 * TERMS.promise_duration)
+    assert promise.handle_request(token(5), 2 * TERMS.promise_duration).why == "over", (
+        "a late asking of one that gave back"
+    )
+    assert promise.handle_request(token(6, "y"), 2 * TERMS.promise_duration).why == ""
     # Seed 2081: a candidate that was refused gives its higher token back; the holder must not lose by it.
-    promise.given_back(token(9, "z"), "", 0, 2 * TERMS.hold)
-    assert promise.asked(token(9, "z"), 2 * TERMS.hold).why == "held"
-    assert promise.asked(token(6, "y"), 3 * TERMS.hold - 1).why == "", "it renews as before"
+    promise.release(token(9, "z"), "", 0, 2 * TERMS.promise_duration)
+    assert promise.handle_request(token(9, "z"), 2 * TERMS.promise_duration).why == "held"
+    assert promise.handle_request(token(6, "y"), 3 * TERMS.promise_duration - 1).why == "", (
+        "it renews as before"
+    )
 
 
 def test_what_was_given_back_for_a_successor_is_kept_for_it_a_while() -> None:
     promise = Promise(TERMS)
-    promise.asked(token(5), 0)
-    promise.given_back(token(4), "z", SECOND, 0)
-    assert promise.stands(1), "another token was given back, not this one"
-    promise.given_back(token(5), "z", SECOND, 0)
-    assert promise.asked(token(7, "y"), SECOND - 1).why == "kept"
-    assert promise.asked(token(6, "z"), SECOND - 1).why == ""
-    promise.given_back(token(6, "z"), "w", SECOND, SECOND)
-    assert promise.asked(token(7, "y"), 2 * SECOND).why == "", "the successor did not come"
+    promise.handle_request(token(5), 0)
+    promise.release(token(4), "z", SECOND, 0)
+    assert promise.is_active(1), "another token was given back, not this one"
+    promise.release(token(5), "z", SECOND, 0)
+    assert promise.handle_request(token(7, "y"), SECOND - 1).why == "kept"
+    assert promise.handle_request(token(6, "z"), SECOND - 1).why == ""
+    promise.release(token(6, "z"), "w", SECOND, SECOND)
+    assert promise.handle_request(token(7, "y"), 2 * SECOND).why == "", "the successor did not come"
 
 
 def test_a_voter_that_has_started_is_silent_then_hears_what_others_know() -> None:
     voter = Voter("a", {"d": TERMS}, 2, born=100)
-    assert voter.asked("d", token(5), 100 + TERMS.hold - 1) is None
-    voter.hears("c", True, {}, 100 + TERMS.hold - 1)
+    assert voter.handle_request("d", token(5), 100 + TERMS.promise_duration - 1) is None
+    voter.observe_voter("c", True, {}, 100 + TERMS.promise_duration - 1)
     assert voter.told == {}, "what is told while we are silent may be out of date when we speak"
-    later = 100 + TERMS.hold
-    voter.hears("b", True, {"d": token(7), "unknown": token(1)}, later)
-    assert voter.asked("d", token(9), 100 + TERMS.hold) is None, "one other is no quorum of others"
-    voter.hears("c", False, {}, later)
-    assert voter.asked("d", token(9), 100 + TERMS.hold) is None, "one that forgot itself is none"
-    voter.hears("c", True, {"d": token(3)}, later)
-    behind = voter.asked("d", token(6), 100 + TERMS.hold)
+    later = 100 + TERMS.promise_duration
+    voter.observe_voter("b", True, {"d": token(7), "unknown": token(1)}, later)
+    assert voter.handle_request("d", token(9), 100 + TERMS.promise_duration) is None, (
+        "one other is no quorum of others"
+    )
+    voter.observe_voter("c", False, {}, later)
+    assert voter.handle_request("d", token(9), 100 + TERMS.promise_duration) is None, (
+        "one that forgot itself is none"
+    )
+    voter.observe_voter("c", True, {"d": token(3)}, later)
+    behind = voter.handle_request("d", token(6), 100 + TERMS.promise_duration)
     assert behind is not None and behind.why == "behind" and behind.highest == token(7)
     # Where no quorum remembers, it votes after a while all the same: a duty must be had again.
     alone = Voter("a", {"d": TERMS}, 2, born=0)
-    assert alone.asked("d", token(1), int(PATIENCE * TERMS.hold) - 1) is None
-    assert alone.asked("d", token(1), int(PATIENCE * TERMS.hold) + 1) is not None
-    assert alone.asked("other", token(1), 10 * SECOND) is None, "no such duty"
+    assert (
+        alone.handle_request("d", token(1), int(RECOVERY_TIMEOUT_FACTOR * TERMS.promise_duration) - 1) is None
+    )
+    assert (
+        alone.handle_request("d", token(1), int(RECOVERY_TIMEOUT_FACTOR * TERMS.promise_duration) + 1)
+        is not None
+    )
+    assert alone.handle_request("other", token(1), 10 * SECOND) is None, "no such duty"
 
 
 # ---- holders
@@ -88,19 +105,19 @@
 def test_a_hold_counts_from_before_the_asking_and_needs_a_quorum_of_different_voters() -> None:
     tenure = Tenure(TERMS, "x", 1, quorum=2)
     mine = tenure.begin(unix=50, now=1_000)
-    granted = Promise(TERMS).asked(mine, 0)
-    tenure.answered("a", granted, 1_000)
-    tenure.answered("a", granted, 2_000)
+    granted = Promise(TERMS).handle_request(mine, 0)
+    tenure.handle_answer("a", granted, 1_000)
+    tenure.handle_answer("a", granted, 2_000)
     assert not tenure.holds(2_000), "one voter, twice"
-    tenure.answered("b", granted, 1_000)
-    assert tenure.until() == 1_000 + TERMS.lease - TERMS.margin
-    assert tenure.holds(tenure.until() - 1) and not tenure.holds(tenure.until())
-    tenure.answered("b", granted, 500_000)
-    assert tenure.until() == 2_000 + TERMS.lease - TERMS.margin, "the older one of the two bounds it"
-    tenure.answered("c", replace(granted, token=token(49)), 900_000)
-    assert "c" not in tenure.granted, "an answer to an older asking"
-    assert tenure.give_back() == mine and not tenure.holds(2_000)
-    tenure.answered("c", granted, 900_000)
+    tenure.handle_answer("b", granted, 1_000)
+    assert tenure.expires_at() == 1_000 + TERMS.lease - TERMS.margin
+    assert tenure.holds(tenure.expires_at() - 1) and not tenure.holds(tenure.expires_at())
+    tenure.handle_answer("b", granted, 500_000)
+    assert tenure.expires_at() == 2_000 + TERMS.lease - TERMS.margin, "the older one of the two bounds it"
+    tenure.handle_answer("c", replace(granted, token=token(49)), 900_000)
+    assert "c" not in tenure.granted_at, "an answer to an older asking"
+    assert tenure.release() == mine and not tenure.holds(2_000)
+    tenure.handle_answer("c", granted, 900_000)
     assert not tenure.holds(2_000), "what was given back never holds again"
     assert tenure.begin(unix=3, now=0) > mine, "Unix time stepped back: above what is known all the same"
 
@@ -123,8 +140,8 @@
             own = int(now * rates[5 + number])
             if chance.random() < 0.05:
                 if not tenure.holds(own):
-                    if tenure.token != NONE and not tenure.given and chance.random() < 0.7:
-                        back = tenure.give_back()
+                    if tenure.token != NO_TOKEN and not tenure.released and chance.random() < 0.7:
+                        back = tenure.release()
                         network += [(now + chance.randrange(0, 900), ("back", n, back)) for n in range(5)]
                     tenure.begin(chance.randrange(1, 20), own)
                 network += [
@@ -141,15 +158,15 @@
         for _, message in due:
             clock = int(now * rates[message[1]])
             if message[0] == "back":
-                voters[message[1]].given_back("d", message[2], "", 0, clock)
+                voters[message[1]].release("d", message[2], "", 0, clock)
             elif message[0] == "ask":
-                answer = voters[message[1]].asked("d", message[3], clock)
+                answer = voters[message[1]].handle_request("d", message[3], clock)
                 if answer is not None and chance.random() < 0.9:
                     network.append(
                         (now + chance.randrange(0, 900), ("told", message[1], message[2], answer, message[4]))
                     )
             else:
-                tenures[message[2]].answered(str(message[1]), message[3], message[4])
+                tenures[message[2]].handle_answer(str(message[1]), message[3], message[4])
         holders = [t for n, t in enumerate(tenures) if t.holds(int(now * rates[5 + n]))]
         assert len(holders) <= 1
         for tenure in holders:
@@ -165,21 +182,25 @@
 def test_sets_go_on_by_one_name_and_a_new_one_waits_until_the_old_is_gone() -> None:
     assert Electorate(1, ("a", "b", "c")).quorum == 2
     assert Electorate(1, ("a", "b", "c"), doubles=1).quorum == 3
-    assert "each voter once" in Electorate(1, ("a", "a")).faults()
-    assert "would be needed" in Electorate(1, ("a",), doubles=1).faults()
-    assert "no `before`" in Electorate(1, ("a",), ("a", "b")).faults()
-    assert "got 2 changes (c, d)" in Electorate(2, ("a", "b", "c"), ("a", "b", "d")).faults()
-    assert Electorate(3, ("a", "b", "c"), ("a", "b")).faults() == ""
-    standing = Standing(Electorate(3, ("a", "b", "d"), ("a", "b")))
-    assert not standing.settled("a"), "b may still be at version 1, with c"
-    standing.hears("b", 2)
-    assert standing.settled("a") and not standing.counts("a", 2) and standing.counts("d", 3)
-    assert not standing.next_allowed()
-    standing.hears("b", 3)
-    standing.hears("a", 3)
-    assert standing.next_allowed() and not standing.newer()
-    standing.hears("z", 4)
-    assert standing.newer() == 4
+    assert "each voter once" in Electorate(1, ("a", "a")).validation_error()
+    assert "would be needed" in Electorate(1, ("a",), doubles=1).validation_error()
+    assert "no `before`" in Electorate(1, ("a",), ("a", "b")).validation_error()
+    assert "got 2 changes (c, d)" in Electorate(2, ("a", "b", "c"), ("a", "b", "d")).validation_error()
+    assert Electorate(3, ("a", "b", "c"), ("a", "b")).validation_error() == ""
+    version_tracker = VersionTracker(Electorate(3, ("a", "b", "d"), ("a", "b")))
+    assert not version_tracker.is_safe_to_vote("a"), "b may still be at version 1, with c"
+    version_tracker.observe_version("b", 2)
+    assert (
+        version_tracker.is_safe_to_vote("a")
+        and not version_tracker.accepts_vote("a", 2)
+        and version_tracker.accepts_vote("d", 3)
+    )
+    assert not version_tracker.is_next_version_allowed()
+    version_tracker.observe_version("b", 3)
+    version_tracker.observe_version("a", 3)
+    assert version_tracker.is_next_version_allowed() and not version_tracker.newer_version()
+    version_tracker.observe_version("z", 4)
+    assert version_tracker.newer_version() == 4
 
 
 def test_all_ways_of_going_on_keep_a_shared_voter() -> None:
@@ -536,7 +557,7 @@
         due = [each for each in network if each[0] <= now]
         network = [each for each in network if each[0] > now]
         for _, name, need, asked_at in due:
-            granted = book.asked(name, need, int(now * rate))
+            granted = book.handle_request(name, need, int(now * rate))
             if chance.random() < 0.8:
                 takers[name].granted(granted, asked_at)
         calls = [each for each in calls if each[0] > now]
