--- a/limeridge/duty/electorate.py
+++ b/limeridge/duty/electorate.py
@@ -1,15 +1,15 @@
-"""Who votes: a set of names in a version that the settings file holds, changed by one name at a time.
-
-It owns the sets, their quorum, and whether a voter of a new version may vote yet. It must never take the
-members' word for who votes: membership believes this and that in a cut, and a majority of those in reach is
-none.
-
-An instance has no disk of its own, but its settings file outlives it. So the version that a process votes
-under is its file's, and a process whose file changed counts as one that has started: silent until all it
-may have promised is over. Sets of versions next to each other differ by one name, hence any two of their
-quorums share a voter, and that voter votes under one of the two alone. Two versions apart they need not: a
-voter votes under version w only once it has heard from a quorum of version w-1's set that they are at w-1
-or above; then no quorum of w-2 is left. A file must never go back to an older version.
+"""The voter set: versioned names from the settings file, changed by one name per version.
+
+Owns the sets, their quorums, and the rule for when a voter of a new version may vote. It never derives the
+voters from membership: members disagree during a network partition, and a majority of the reachable members
+is not a quorum.
+
+An instance has no disk, but its settings file outlives it. So a process votes under the version in its file,
+and a process whose file changed is treated as one that has started: it does not vote until all promises that
+it may have made have expired. The sets of adjacent versions differ by one name, hence any two of their
+quorums share a voter, which votes under only one of the two versions. Sets two versions apart need not
+overlap: a voter votes under version w only after a quorum of version w-1's set has reported w-1 or above;
+then no quorum of w-2 is left. A file must never go back to an older version.
 """
 
 from __future__ import annotations
@@ -21,25 +21,25 @@
 
 @dataclass(slots=True, frozen=True)
 class Electorate:
-    """The voters of one version of the settings, and those of the version before."""
+    """The voters of one version of the settings, and those of the previous version."""
 
     version: int
     voters: tuple[str, ...]
-    previous_voters: tuple[str, ...] = ()  # of the version before, from version 2 on
-    doubles: int = 0  # names that two processes may hold at once
+    previous_voters: tuple[str, ...] = ()  # empty in version 1
+    doubles: int = 0  # names that two processes may use at the same time
 
     @property
     def quorum(self) -> int:
-        """Two of them share more than `doubles` names."""
+        """Smallest size for which any two quorums share more than `doubles` names."""
         return (len(self.voters) + self.doubles) // 2 + 1
 
     @property
     def previous_quorum(self) -> int:
-        """As `quorum`, of the voters of the version before."""
+        """`quorum` of the previous version's voters."""
         return (len(self.previous_voters) + self.doubles) // 2 + 1
 
     def validation_error(self) -> str:
-        """What is wrong with it, in words; empty where nothing is."""
+        """Describes what is invalid; empty if nothing is."""
         if not self.voters:
             return "expected a voter or more"
         if len(set(self.voters)) < len(self.voters):
@@ -61,21 +61,21 @@
 
 @dataclass(slots=True)
 class VersionTracker:
-    """What one process knows of the others' versions."""
+    """Versions of the voter set that other processes have reported."""
 
     electorate: Electorate
     versions: dict[str, int] = field(default_factory=dict)
 
     def observe_version(self, name: str, version: int) -> None:
-        """The version that a process of this name runs; it may go back where the name's file did, which is
-        shown and not believed."""
+        """Records the version that a process of this name uses. A lower version than before, from a file that
+        was rolled back, is ignored."""
         self.versions[name] = max(version, self.versions.get(name, 0))
 
     def is_safe_to_vote(self, own: str) -> bool:
-        """Whether no quorum of the version before the last one can be left: we may vote."""
+        """Whether `own` may vote: no quorum of two versions ago can be left."""
         electorate = self.electorate
         if electorate.version <= 2:
-            # Version 1 has nothing before it, and version 2's only neighbour is version 1.
+            # Version 1 has no predecessor, and version 2's only predecessor is version 1.
             return True
         updated = sum(
             name == own or self.versions.get(name, 0) >= electorate.version - 1
@@ -84,17 +84,17 @@
         return updated >= electorate.previous_quorum
 
     def accepts_vote(self, voter: str, version: int) -> bool:
-        """Whether a vote given under `version` counts for us."""
+        """Whether a vote under `version` is valid for this process."""
         return voter in self.electorate.voters and version == self.electorate.version
 
     def newer_version(self) -> int:
-        """The highest version that somebody runs above ours; 0 where there is none. Who sees one asks for
-        nothing any more: its set is of the past."""
+        """The highest reported version above the own one; 0 if there is none. A process that sees one stops
+        requesting duties, because its voter set is outdated."""
         highest = max(self.versions.values(), default=0)
         return highest if highest > self.electorate.version else 0
 
     def is_next_version_allowed(self) -> bool:
-        """Whether the settings may go on to another version: a quorum of this one's set is at it."""
+        """Whether the settings may move to the next version: a quorum of this version's set uses it."""
         updated = sum(
             self.versions.get(name, 0) >= self.electorate.version for name in self.electorate.voters
         )
--- a/limeridge/duty/tenure.py
+++ b/limeridge/duty/tenure.py
@@ -1,9 +1,8 @@
-"""One instance's hold on one duty: asking for it, having it, renewing it, giving it back.
+"""One instance's lease on one duty: requesting, holding, renewing and releasing it.
 
-It owns the count of voters that granted and the time until which that holds. It must never look at a clock,
-send anything or judge whether the duty ought to be had: it is told to begin, and says whether it holds, at
-each time that it is asked. A timer never ends a hold: who acts looks first, for the process may have stood
-still.
+Owns the votes granted and the expiry time that follows from them. It never reads a clock, sends messages or
+decides whether to request the duty: callers start a request, and ask whether the lease is valid at a given
+time. No timer ends a lease: check `holds` before each action, since the process may have been paused.
 """
 
 from __future__ import annotations
@@ -15,41 +14,44 @@
 
 @dataclass(slots=True)
 class Tenure:
-    """One duty as its candidate or holder sees it: what voters granted, and until when it counts."""
+    """A duty as its candidate or holder sees it: the votes granted, and when the lease expires."""
 
     terms: Terms
     name: str
     nonce: int
     quorum: int
-    token: Token = NO_TOKEN  # that we ask or hold under
-    granted_at: dict[str, int] = field(default_factory=dict)  # by voter: when we asked what it granted last
-    refusals: dict[str, Answer] = field(default_factory=dict)  # by voter, of the asking in hand
-    highest_known: Token = NO_TOKEN  # the highest heard of, anybody's
-    requested_at: int = 0  # the first asking under this token
-    released: bool = False  # this token was given back: it never holds again
+    token: Token = NO_TOKEN  # of the current request or lease
+    granted_at: dict[str, int] = field(
+        default_factory=dict
+    )  # by voter: send time of the last granted request
+    refusals: dict[str, Answer] = field(default_factory=dict)  # by voter, of the current request
+    highest_known: Token = NO_TOKEN  # of any process
+    requested_at: int = 0  # send time of the first request under this token
+    released: bool = False  # the token was released and never holds again
 
-    # ---- having it
+    # ---- holding
 
     def expires_at(self) -> int:
-        """Our own time at which the hold is over: the lease of the quorum'th latest asking that was
-        granted."""
+        """Local time at which the lease ends, counted from the quorum-th latest request that was granted; 0
+        if there is no lease."""
         latest = sorted(self.granted_at.values(), reverse=True)
         if self.released or len(latest) < self.quorum:
             return 0
         return latest[self.quorum - 1] + self.terms.lease - self.terms.margin
 
     def holds(self, now: int) -> bool:
-        """To be asked right before each act."""
+        """Whether the lease is valid at `now`; to be checked right before each action."""
         return now < self.expires_at()
 
     def remaining(self, now: int) -> int:
-        """Microseconds that the duty may still be acted on; 0 where it is not held."""
+        """Microseconds until the lease ends; 0 if the duty is not held."""
         return max(0, self.expires_at() - now)
 
-    # ---- asking
+    # ---- requesting
 
     def begin(self, unix: int, now: int) -> Token:
-        """A new asking, under a token above all that is known. The one before must have been given back."""
+        """Starts a request under a new token, above all known ones. The previous token must have been
+        released. `unix` is Unix time in microseconds."""
         number = max(unix, self.highest_known.number + 1)
         self.token = Token(number, self.name, self.nonce)
         self.highest_known = max(self.highest_known, self.token)
@@ -58,8 +60,8 @@
         return self.token
 
     def handle_answer(self, voter: str, answer: Answer, sent_at: int) -> None:
-        """`sent_at`: our own time before that asking was sent. Answers under another token say nothing but
-        what is known there."""
+        """Records a voter's answer. `sent_at`: local time before the request was sent. An answer to another
+        token only updates the highest known token."""
         self.highest_known = max(self.highest_known, answer.highest)
         if answer.token != self.token or self.released:
             return
@@ -72,17 +74,17 @@
             self.granted_at[voter] = max(sent_at, self.granted_at.get(voter, sent_at))
 
     def is_quorum_unreachable(self, voters: int) -> bool:
-        """Too many have refused for this token to be granted by a quorum."""
+        """Whether too many voters have refused for a quorum to grant this token."""
         return voters - len(self.refusals) < self.quorum
 
-    # ---- ending it
+    # ---- releasing
 
     def release(self) -> Token:
-        """Ours to act under no more, whatever answers still come. What is returned is to be told to the
+        """Ends the lease for good, whatever answers still arrive. The caller sends the returned token to the
         voters."""
         self.released = True
         return self.token
 
     def observe_token(self, highest: Token) -> None:
-        """From the resource, or from a member."""
+        """Records a token reported by the resource or by a member."""
         self.highest_known = max(self.highest_known, highest)
