--- a/limeridge/duty/seek.py
+++ b/limeridge/duty/candidacy.py
@@ -19,34 +19,36 @@
 
 from limeridge.peers.digest import score_of
 
-RENEW = 3  # askings within a lease
-RANKS = 4  # ranks that wait longer one after the other; all behind them wait alike, and draw
+RENEWALS_PER_LEASE = 3  # askings within a lease
+MAX_DELAYED_RANK = 4  # ranks that wait longer one after the other; all behind them wait alike, and draw
 
 
 @dataclass(slots=True, frozen=True)
-class Waits:
+class CandidateTiming:
     """Times in microseconds."""
 
-    step: int = 200_000  # between the askings of one rank and the next
-    answer: int = 400_000  # for the answers to one asking
-    longest: int = 5_000_000  # of the waits after a refusal
-    steady: int = 30_000_000  # that a better placed one must have been there before it is handed the duty
+    rank_delay: int = 200_000  # between the askings of one rank and the next
+    answer_timeout: int = 400_000  # for the answers to one asking
+    max_backoff: int = 5_000_000  # of the waits after a refusal
+    min_presence: int = (
+        30_000_000  # that a better placed one must have been there before it is handed the duty
+    )
 
 
 @dataclass(slots=True)
-class Seeker:
+class Candidate:
     """One instance's view of one duty."""
 
     duty: str
     own: str
-    waits: Waits
+    timing: CandidateTiming
     lease: int
-    chance: random.Random
+    rng: random.Random
     refusals: int = 0
-    next_at: int = 0  # before this we do not ask
-    asked_at: int = -1  # the asking in hand
+    next_request_at: int = 0  # before this we do not ask
+    requested_at: int = -1  # the asking in hand
     renewed_at: int = 0
-    free_since: int = -1  # since when nobody is known to hold it
+    vacant_since: int = -1  # since when nobody is known to hold it
     better_since: dict[str, int] = field(default_factory=dict)
 
     def ranked(self, present: Sequence[str]) -> list[str]:
@@ -60,72 +62,72 @@
 
     # ---- asking
 
-    def sees(self, held: bool, now: int) -> None:
+    def observe_holder(self, held: bool, now: int) -> None:
         """Whether somebody is known to hold the duty now, ourselves included."""
         if held:
-            self.free_since = -1
-        elif self.free_since < 0:
-            self.free_since = now
+            self.vacant_since = -1
+        elif self.vacant_since < 0:
+            self.vacant_since = now
 
-    def asks(self, present: Sequence[str], now: int) -> bool:
+    def should_request(self, present: Sequence[str], now: int) -> bool:
         """Whether to begin an asking now."""
-        if self.free_since < 0 or self.asked_at >= 0 or now < self.next_at:
+        if self.vacant_since < 0 or self.requested_at >= 0 or now < self.next_request_at:
             return False
-        rank = min(self.rank(present), RANKS)
-        return now >= self.free_since + rank * self.waits.step
+        rank = min(self.rank(present), MAX_DELAYED_RANK)
+        return now >= self.vacant_since + rank * self.timing.rank_delay
 
-    def began(self, now: int) -> None:
+    def record_request(self, now: int) -> None:
         """Notes that an asking began at `now`."""
-        self.asked_at = self.renewed_at = now
+        self.requested_at = self.renewed_at = now
 
-    def had(self) -> None:
+    def record_grant(self) -> None:
         """The asking in hand was granted."""
-        self.refusals, self.asked_at = 0, -1
+        self.refusals, self.requested_at = 0, -1
 
-    def failed(self, now: int, left: int = 0) -> None:
+    def back_off(self, now: int, left: int = 0) -> None:
         """It was refused, or nobody answered in time; `left`: until the promise that was in the way
         lapses."""
-        bound = min(self.waits.longest, self.waits.step << min(self.refusals, 10))
+        bound = min(self.timing.max_backoff, self.timing.rank_delay << min(self.refusals, 10))
         self.refusals += 1
-        self.asked_at = -1
-        self.next_at = now + min(left, self.lease) + max(1, int(self.chance.uniform(0, bound)))
+        self.requested_at = -1
+        self.next_request_at = now + min(left, self.lease) + max(1, int(self.rng.uniform(0, bound)))
 
-    def late(self, now: int) -> bool:
+    def has_timed_out(self, now: int) -> bool:
         """Answers to the asking in hand are waited for no longer."""
-        return self.asked_at >= 0 and now >= self.asked_at + self.waits.answer
+        return self.requested_at >= 0 and now >= self.requested_at + self.timing.answer_timeout
 
     # ---- having
 
-    def renews(self, now: int) -> bool:
+    def start_renewal_if_due(self, now: int) -> bool:
         """Whether the lease is to be renewed now; True counts as having begun to."""
-        if now < self.renewed_at + self.lease // RENEW:
+        if now < self.renewed_at + self.lease // RENEWALS_PER_LEASE:
             return False
         self.renewed_at = now
         return True
 
-    def successor(self, present: Sequence[str], now: int) -> str:
+    def select_successor(self, present: Sequence[str], now: int) -> str:
         """Who is better placed and has been there long enough; empty where nobody is."""
         ranked = self.ranked(present)
         better = ranked[: ranked.index(self.own)] if self.own in ranked else ranked
         self.better_since = {name: self.better_since.get(name, now) for name in better}
-        steady = [name for name in better if now - self.better_since[name] >= self.waits.steady]
-        if not steady:
+        eligible = [name for name in better if now - self.better_since[name] >= self.timing.min_presence]
+        if not eligible:
             return ""
         # Where that one can't take it and it comes back to us, it is not offered again before as long.
         self.better_since.clear()
-        return steady[0]
+        return eligible[0]
 
-    def heir(self, present: Sequence[str]) -> str:
+    def fallback_successor(self, present: Sequence[str]) -> str:
         """Whom to hand it to where we must not keep it: the first of the others."""
         return next((name for name in self.ranked(present) if name != self.own), "")
 
-    def wakes_at(self, present: Sequence[str], holds: bool, now: int) -> int:
+    def next_check_at(self, present: Sequence[str], holds: bool, now: int) -> int:
         """When this duty is to be looked at next, microseconds; `holds` where we hold it."""
         if holds:
-            return self.renewed_at + self.lease // RENEW
-        if self.asked_at >= 0:
-            return self.asked_at + self.waits.answer
-        if self.free_since < 0:
-            return now + self.lease // RENEW
-        rank = min(self.rank(present), RANKS)
-        return max(self.next_at, self.free_since + rank * self.waits.step)
+            return self.renewed_at + self.lease // RENEWALS_PER_LEASE
+        if self.requested_at >= 0:
+            return self.requested_at + self.timing.answer_timeout
+        if self.vacant_since < 0:
+            return now + self.lease // RENEWALS_PER_LEASE
+        rank = min(self.rank(present), MAX_DELAYED_RANK)
+        return max(self.next_request_at, self.vacant_since + rank * self.timing.rank_delay)
--- a/limeridge/duty/delegate.py
+++ b/limeridge/duty/delegate.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from limeridge.duty import words
+from limeridge.duty import messages
 from limeridge.duty.allotting import Allotting
 from limeridge.duty.member import Duties
 from limeridge.peers.members import Claim
@@ -39,20 +39,20 @@
 
     def heard(self, sender: Claim, body: bytes, unix: int, now: int) -> None:
         """Takes what the same part of another member sent; what cannot be read is counted."""
-        said = words.decode(body)
+        said = messages.decode(body)
         if said is None:
             self.strange += 1
             return
-        if isinstance(said, words.Need | words.Grant):
+        if isinstance(said, messages.Need | messages.Grant):
             self._allot(sender, said, now)
         else:
-            self.duties.heard(sender.name, said, unix, now)
+            self.duties.handle_message(sender.name, said, unix, now)
         self._take()
 
-    def _allot(self, sender: Claim, said: words.Need | words.Grant, now: int) -> None:
+    def _allot(self, sender: Claim, said: messages.Need | messages.Grant, now: int) -> None:
         if self.allotting is None:
             return
-        if isinstance(said, words.Need):
+        if isinstance(said, messages.Need):
             self.allotting.heard_need(sender.name, sender.key, said.seq, said.calls, now)
         else:
             self.allotting.heard_grant(said.seq, said.calls, said.to)
@@ -70,12 +70,12 @@
 
     def _take(self) -> None:
         duties = self.duties
-        self.out += [(to, words.encode(body)) for to, body in duties.out]
+        self.out += [(to, messages.encode(body)) for to, body in duties.out]
         duties.out.clear()
         if self.allotting is not None:
             for to, what, seq, calls, key in self.allotting.out:
-                word = words.Need(seq, calls) if what == "need" else words.Grant(seq, calls, key)
-                self.out.append((to, words.encode(word)))
+                word = messages.Need(seq, calls) if what == "need" else messages.Grant(seq, calls, key)
+                self.out.append((to, messages.encode(word)))
             self.allotting.out.clear()
         self.events += [Event("duty", each.code, {"duty": each.duty} | each.fields) for each in duties.events]
         duties.events.clear()
--- a/limeridge/duty/member.py
+++ b/limeridge/duty/member.py
@@ -12,26 +12,26 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from limeridge.duty import words
+from limeridge.duty import messages
 from limeridge.duty.ballots import NO_TOKEN, Answer, Terms, Token, Voter
+from limeridge.duty.candidacy import Candidate, CandidateTiming
 from limeridge.duty.electorate import Electorate, VersionTracker
-from limeridge.duty.seek import Seeker, Waits
 from limeridge.duty.tenure import Tenure
 
-RECALLS = 4  # a hold, until it knows
-SEQS_KEPT = 64
+RECOVERY_QUERIES_PER_PROMISE = 4  # a hold, until it knows
+MAX_PENDING_REQUESTS = 64
 
 
 @dataclass(slots=True, frozen=True)
-class Declared:
+class DutySpec:
     """A duty. `checks`: the resource compares tokens; where it does not, the first act waits for `wait`, so
     that whatever an older holder had begun is over. `meanwhile`: what is done while nobody holds it, for
     those who read `limeridge duty show`."""
 
     name: str
     terms: Terms = field(default_factory=Terms)
-    checks: bool = False
-    wait: int = 0  # microseconds before the first act
+    checks_tokens: bool = False
+    first_act_delay: int = 0  # microseconds before the first act
     meanwhile: str = "nothing"
 
 
@@ -44,16 +44,16 @@
     fields: dict[str, object]
 
 
-class Work(Protocol):
+class DutyWork(Protocol):
     """Who does a duty. `able`: whether it could, now (its resource is in reach, it is not itself
     overloaded)."""
 
-    def able(self, now: int) -> bool:
+    def can_perform(self, now: int) -> bool:
         """Whether this member can do the work of the duty just now; asked before it asks for the duty."""
 
 
 @dataclass(slots=True)
-class Word:
+class HolderReport:
     """Of somebody's holding a duty, as last heard."""
 
     holder: str
@@ -70,9 +70,9 @@
         own: str,
         nonce: int,
         electorate: Electorate,
-        declared: Mapping[str, Declared],
-        waits: Waits,
-        chance: random.Random,
+        declared: Mapping[str, DutySpec],
+        timing: CandidateTiming,
+        rng: random.Random,
         now: int,
         usual: Terms | None = None,
     ) -> None:
@@ -85,54 +85,59 @@
         self.tenures = {
             name: Tenure(each.terms, own, nonce, electorate.quorum) for name, each in self.declared.items()
         }
-        self.seekers = {
-            name: Seeker(name, own, waits, each.terms.lease, chance) for name, each in self.declared.items()
+        self.candidates = {
+            name: Candidate(name, own, timing, each.terms.lease, rng) for name, each in self.declared.items()
         }
-        self.work: dict[str, Work] = {}
-        self.word: dict[str, Word] = {}
+        self.work: dict[str, DutyWork] = {}
+        self.holder_reports: dict[str, HolderReport] = {}
         self.held_since: dict[str, int] = {}
         self.notes: dict[str, bytes] = {}  # what goes along with word of our own holdings
-        self.why: dict[str, str] = {}  # of the last change, for `show`
-        self.seqs: dict[int, tuple[str, int]] = {}  # of askings: duty, when they were sent
+        self.last_reasons: dict[str, str] = {}  # of the last change, for `show`
+        self.pending_requests: dict[int, tuple[str, int]] = {}  # of askings: duty, when they were sent
         self.seq = 0
-        self.out: list[tuple[str, words.Body]] = []  # to a member's name, or to all where it is empty
+        self.out: list[tuple[str, messages.Body]] = []  # to a member's name, or to all where it is empty
         self.events: list[Event] = []
         self.present: tuple[str, ...] = (own,)
-        self.leaving = self.doubts = False
-        self.next_recall = now + self.voter.max_promise_duration  # what is told before counts for nothing
+        self.leaving = self.is_degraded = False
+        self.next_recovery_query = (
+            now + self.voter.max_promise_duration
+        )  # what is told before counts for nothing
 
     # ---- what the work sees
 
-    def may(self, duty: str, now: int) -> Token | None:
+    def fencing_token(self, duty: str, now: int) -> Token | None:
         """The token to act under, right now; None where we must not act. To be asked before each act, with
         the time as it is then."""
         tenure = self.tenures[duty]
-        if not tenure.holds(now) or now < self.held_since.get(duty, now) + self.declared[duty].wait:
+        if (
+            not tenure.holds(now)
+            or now < self.held_since.get(duty, now) + self.declared[duty].first_act_delay
+        ):
             return None
         return tenure.token
 
-    def refused(self, duty: str, highest: Token, now: int) -> None:
+    def handle_stale_token(self, duty: str, highest: Token, now: int) -> None:
         """The resource knows of a newer token than ours: ours is over, whatever the voters said."""
         tenure = self.tenures[duty]
         tenure.observe_token(highest)
         if tenure.token != NO_TOKEN and not tenure.released and highest > tenure.token:
-            self._give_back(duty, "refused", now)
+            self._release_duty(duty, "refused", now)
 
     def holder(self, duty: str, now: int) -> str:
         """Who holds it, as far as is known here; empty for nobody."""
         if self.tenures[duty].holds(now):
             return self.own
-        word = self.word.get(duty)
-        return word.holder if word is not None and now < word.until else ""
+        report = self.holder_reports.get(duty)
+        return report.holder if report is not None and now < report.until else ""
 
-    def shown(self, now: int) -> dict[str, object]:
+    def status(self, now: int) -> dict[str, object]:
         """For people: who holds what, as far as is known here."""
         rows = []
         for name, each in self.declared.items():
-            tenure, word = self.tenures[name], self.word.get(name)
+            tenure, report = self.tenures[name], self.holder_reports.get(name)
             ours = tenure.holds(now)
-            token = tenure.token if ours else word.token if word is not None else tenure.highest_known
-            left = tenure.remaining(now) if ours else max(0, word.until - now) if word is not None else 0
+            token = tenure.token if ours else report.token if report is not None else tenure.highest_known
+            left = tenure.remaining(now) if ours else max(0, report.until - now) if report is not None else 0
             rows.append(
                 {
                     "duty": name,
@@ -140,7 +145,7 @@
                     "token": token.number,
                     "left_s": round(left / 1e6, 2),
                     "granted_by": sorted(tenure.granted_at) if ours else [],
-                    "why": self.why.get(name, ""),
+                    "why": self.last_reasons.get(name, ""),
                     "meanwhile": each.meanwhile,
                 }
             )
@@ -160,13 +165,13 @@
         if self.leaving:
             return 1 << 62
         times = [
-            seeker.wakes_at(self.present, self.tenures[name].holds(now), now)
-            for name, seeker in self.seekers.items()
+            candidate.next_check_at(self.present, self.tenures[name].holds(now), now)
+            for name, candidate in self.candidates.items()
         ]
         times += [tenure.expires_at() for tenure in self.tenures.values() if tenure.holds(now)]
-        times += [word.until for word in self.word.values() if word.until > now]
+        times += [report.until for report in self.holder_reports.values() if report.until > now]
         if self.is_voter and not self.voter.has_recovered():
-            times.append(self.next_recall)
+            times.append(self.next_recovery_query)
         return max(now + 1, min(times, default=1 << 62))
 
     def wake(self, present: tuple[str, ...], unix: int, now: int) -> None:
@@ -174,108 +179,115 @@
         if self.leaving:
             return
         self.present = present
-        if self.is_voter and not self.voter.has_recovered() and now >= self.next_recall:
-            self.next_recall = now + max(1, self.voter.max_promise_duration // RECALLS)
+        if self.is_voter and not self.voter.has_recovered() and now >= self.next_recovery_query:
+            self.next_recovery_query = now + max(
+                1, self.voter.max_promise_duration // RECOVERY_QUERIES_PER_PROMISE
+            )
             for name in self._others():
-                self.out.append((name, words.Recall(self.electorate.version)))
+                self.out.append((name, messages.RecoveryQuery(self.electorate.version)))
         for name in self.declared:
-            self._look(name, unix, now)
+            self._update(name, unix, now)
 
     def _others(self) -> list[str]:
         return [name for name in self.electorate.voters if name != self.own]
 
-    def _look(self, duty: str, unix: int, now: int) -> None:
-        tenure, seeker = self.tenures[duty], self.seekers[duty]
-        self._lapse(duty, now)
+    def _update(self, duty: str, unix: int, now: int) -> None:
+        tenure, candidate = self.tenures[duty], self.candidates[duty]
+        self._end_if_expired(duty, now)
         if tenure.holds(now):
-            self._keep(duty, now)
-        seeker.sees(bool(self.holder(duty, now)), now)
+            self._maintain(duty, now)
+        candidate.observe_holder(bool(self.holder(duty, now)), now)
         if tenure.holds(now):
             return
-        if seeker.late(now):
+        if candidate.has_timed_out(now):
             left = max((each.left for each in tenure.refusals.values()), default=0)
-            self._withdraw(duty, now)
-            seeker.failed(now, left)
-        if self.version_tracker.newer_version() or not self._able(duty, now):
+            self._release_token(duty, now)
+            candidate.back_off(now, left)
+        if self.version_tracker.newer_version() or not self._can_perform(duty, now):
             return
-        if seeker.asks(self.present, now):
-            self._withdraw(duty, now)
+        if candidate.should_request(self.present, now):
+            self._release_token(duty, now)
             tenure.begin(unix, now)
-            seeker.began(now)
-            self._ask(duty, now)
+            candidate.record_request(now)
+            self._send_requests(duty, now)
 
-    def _lapse(self, duty: str, now: int) -> None:
+    def _end_if_expired(self, duty: str, now: int) -> None:
         """A hold that ran out is over, whether or not we were awake then: what follows is another one, whose
         first act waits anew. To be seen to before anything that could begin it."""
         if duty in self.held_since and not self.tenures[duty].holds(now):
-            self._ended(duty, "lapsed")
+            self._record_end(duty, "lapsed")
 
-    def _able(self, duty: str, now: int) -> bool:
+    def _can_perform(self, duty: str, now: int) -> bool:
         work = self.work.get(duty)
-        return not self.doubts and (work is None or work.able(now))
+        return not self.is_degraded and (work is None or work.can_perform(now))
 
-    def _keep(self, duty: str, now: int) -> None:
+    def _maintain(self, duty: str, now: int) -> None:
         """We hold it: go on, hand it on, or give it up."""
-        seeker = self.seekers[duty]
+        candidate = self.candidates[duty]
         if self.version_tracker.newer_version():
-            self._give_back(duty, "newer-set", now)
-        elif not self._able(duty, now):
-            self._give_back(duty, "slow" if self.doubts else "unable", now, seeker.heir(self.present))
-            seeker.failed(now, self.tenures[duty].terms.lease)
-        elif successor := seeker.successor(self.present, now):
-            self._give_back(duty, "handed-on", now, successor)
-        elif seeker.renews(now):
-            self._ask(duty, now)
-            self._tell(duty, now)
+            self._release_duty(duty, "newer-set", now)
+        elif not self._can_perform(duty, now):
+            self._release_duty(
+                duty,
+                "slow" if self.is_degraded else "unable",
+                now,
+                candidate.fallback_successor(self.present),
+            )
+            candidate.back_off(now, self.tenures[duty].terms.lease)
+        elif successor := candidate.select_successor(self.present, now):
+            self._release_duty(duty, "handed-on", now, successor)
+        elif candidate.start_renewal_if_due(now):
+            self._send_requests(duty, now)
+            self._announce(duty, now)
 
     # ---- asking and giving back
 
-    def _ask(self, duty: str, now: int) -> None:
+    def _send_requests(self, duty: str, now: int) -> None:
         """The time is taken before anything is sent: the lease runs from here."""
         tenure = self.tenures[duty]
         self.seq += 1
-        self.seqs[self.seq] = duty, now
-        while len(self.seqs) > SEQS_KEPT:
-            del self.seqs[next(iter(self.seqs))]
-        ask = words.Ask(duty, tenure.token, self.seq, self.electorate.version)
+        self.pending_requests[self.seq] = duty, now
+        while len(self.pending_requests) > MAX_PENDING_REQUESTS:
+            del self.pending_requests[next(iter(self.pending_requests))]
+        request = messages.LeaseRequest(duty, tenure.token, self.seq, self.electorate.version)
         for name in self.electorate.voters:
             if name == self.own:
-                self._vote(self.own, ask, now)
+                self._handle_request(self.own, request, now)
             else:
-                self.out.append((name, ask))
+                self.out.append((name, request))
 
-    def _withdraw(self, duty: str, now: int, successor: str = "") -> None:
+    def _release_token(self, duty: str, now: int, successor: str = "") -> None:
         """Voters that granted are free again; the token is used no more."""
         tenure = self.tenures[duty]
         if tenure.token == NO_TOKEN or tenure.released:
             return
-        keep = self.seekers[duty].waits.answer * 2 if successor else 0
-        back = words.Back(duty, tenure.release(), successor, keep)
+        keep = self.candidates[duty].timing.answer_timeout * 2 if successor else 0
+        release = messages.LeaseRelease(duty, tenure.release(), successor, keep)
         for name in self._others():
-            self.out.append((name, back))
+            self.out.append((name, release))
         if self.is_voter:
-            self.voter.release(duty, back.token, successor, keep, now)
+            self.voter.release(duty, release.token, successor, keep, now)
 
-    def _give_back(self, duty: str, why: str, now: int, successor: str = "") -> None:
+    def _release_duty(self, duty: str, why: str, now: int, successor: str = "") -> None:
         token = self.tenures[duty].token
         # No act from here on: the voters may hear of it at once.
-        self._withdraw(duty, now, successor)
+        self._release_token(duty, now, successor)
         if duty in self.held_since:
-            self._ended(duty, why, successor)
-        self.out.append(("", words.Held(duty, token, 0)))
+            self._record_end(duty, why, successor)
+        self.out.append(("", messages.HolderNotice(duty, token, 0)))
         if successor:
-            self.out.append((successor, words.Take(duty, token)))
+            self.out.append((successor, messages.Handover(duty, token)))
 
-    def _ended(self, duty: str, why: str, successor: str = "") -> None:
+    def _record_end(self, duty: str, why: str, successor: str = "") -> None:
         self.held_since.pop(duty, None)
-        self.why[duty] = why
+        self.last_reasons[duty] = why
         self._log(why, duty, token=self.tenures[duty].token.number, successor=successor)
 
-    def _tell(self, duty: str, now: int) -> None:
+    def _announce(self, duty: str, now: int) -> None:
         tenure = self.tenures[duty]
         left = tenure.remaining(now)
         if left:
-            self.out.append(("", words.Held(duty, tenure.token, left, self.notes.get(duty, b""))))
+            self.out.append(("", messages.HolderNotice(duty, tenure.token, left, self.notes.get(duty, b""))))
 
     def release(self, duty: str, successor: str, now: int) -> str:
         """By hand: given up, or passed to `successor` where one is named. What stands in the way, in words;
@@ -286,131 +298,131 @@
             return f"{self.own} does not hold {duty}, {self.holder(duty, now) or 'nobody'} does"
         if successor and (successor == self.own or successor not in self.present):
             return f"expected another member that is there, got {successor!r}"
-        self._give_back(duty, "by-hand", now, successor)
+        self._release_duty(duty, "by-hand", now, successor)
         # Not at once ours again.
-        self.seekers[duty].failed(now, self.tenures[duty].terms.lease)
+        self.candidates[duty].back_off(now, self.tenures[duty].terms.lease)
         return ""
 
     def leave(self, now: int) -> None:
         """Before a drain: what we hold goes to the next, and we vote no more."""
         for duty in list(self.held_since):
-            self._give_back(duty, "drain", now, self.seekers[duty].heir(self.present))
+            self._release_duty(duty, "drain", now, self.candidates[duty].fallback_successor(self.present))
         for duty in self.declared:
-            self._withdraw(duty, now)
+            self._release_token(duty, now)
         self.leaving = True
 
     # ---- what came
 
-    def heard(self, sender: str, body: words.Body, unix: int, now: int) -> None:
+    def handle_message(self, sender: str, body: messages.Body, unix: int, now: int) -> None:
         """`sender` is a member's name."""
-        if isinstance(body, words.Ask):
+        if isinstance(body, messages.LeaseRequest):
             self.version_tracker.observe_version(sender, body.version)
-            self._vote(sender, body, now)
-        elif isinstance(body, words.Answer):
+            self._handle_request(sender, body, now)
+        elif isinstance(body, messages.LeaseAnswer):
             self.version_tracker.observe_version(sender, body.version)
-            self._answered(sender, body, now)
-        elif isinstance(body, words.Back):
+            self._handle_answer(sender, body, now)
+        elif isinstance(body, messages.LeaseRelease):
             if self.is_voter and body.token.name == sender:
                 keep = min(body.keep, self.voter.max_promise_duration)
                 self.voter.release(body.duty, body.token, body.successor, keep, now)
-        elif isinstance(body, words.Take):
-            self._take(body, unix, now)
-        elif isinstance(body, words.Held):
-            self._word(sender, body, now)
-        elif isinstance(body, words.Recall):
+        elif isinstance(body, messages.Handover):
+            self._handle_handover(body, unix, now)
+        elif isinstance(body, messages.HolderNotice):
+            self._handle_notice(sender, body, now)
+        elif isinstance(body, messages.RecoveryQuery):
             self.version_tracker.observe_version(sender, body.version)
             if self.is_voter:
                 knows = self.voter.highest_tokens()
                 remembers = self.voter.can_vote(now) and self.voter.has_recovered()
-                self.out.append((sender, words.Known(self.electorate.version, remembers, knows)))
-        elif isinstance(body, words.Known):
+                self.out.append((sender, messages.RecoveryReport(self.electorate.version, remembers, knows)))
+        elif isinstance(body, messages.RecoveryReport):
             self.version_tracker.observe_version(sender, body.version)
             if self.is_voter and sender in self.electorate.voters:
                 self.voter.observe_voter(sender, body.remembers, body.highest, now)
 
-    def _vote(self, sender: str, ask: words.Ask, now: int) -> None:
+    def _handle_request(self, sender: str, request: messages.LeaseRequest, now: int) -> None:
         if not self.is_voter or self.leaving:
             return
         if not self.version_tracker.accepts_vote(
-            self.own, ask.version
+            self.own, request.version
         ) or not self.version_tracker.is_safe_to_vote(self.own):
             return
-        if ask.token.name != sender:
+        if request.token.name != sender:
             return
-        answer = self.voter.handle_request(ask.duty, ask.token, now)
-        if answer is None:
+        vote = self.voter.handle_request(request.duty, request.token, now)
+        if vote is None:
             return
-        told = words.Answer(
-            ask.duty, ask.token, ask.seq, self.electorate.version, answer.why, answer.highest, answer.holder,
-            answer.left,
+        answer = messages.LeaseAnswer(
+            request.duty, request.token, request.seq, self.electorate.version, vote.why, vote.highest,
+            vote.holder, vote.left,
         )  # fmt: skip
         if sender == self.own:
-            self._answered(self.own, told, now)
+            self._handle_answer(self.own, answer, now)
         else:
-            self.out.append((sender, told))
+            self.out.append((sender, answer))
 
-    def _answered(self, voter: str, told: words.Answer, now: int) -> None:
-        asked = self.seqs.get(told.seq)
+    def _handle_answer(self, voter: str, answer: messages.LeaseAnswer, now: int) -> None:
+        pending = self.pending_requests.get(answer.seq)
         if (
-            asked is None
-            or asked[0] != told.duty
-            or not self.version_tracker.accepts_vote(voter, told.version)
+            pending is None
+            or pending[0] != answer.duty
+            or not self.version_tracker.accepts_vote(voter, answer.version)
         ):
             return
-        duty, asked_at = asked
-        tenure, seeker = self.tenures[duty], self.seekers[duty]
-        self._lapse(duty, now)
+        duty, sent_at = pending
+        tenure, candidate = self.tenures[duty], self.candidates[duty]
+        self._end_if_expired(duty, now)
         tenure.handle_answer(
-            voter, Answer(told.token, told.why, told.highest, told.holder, told.left), asked_at
+            voter, Answer(answer.token, answer.why, answer.highest, answer.holder, answer.left), sent_at
         )
         if tenure.holds(now):
             if duty not in self.held_since:
                 self.held_since[duty] = now
-                self.why[duty] = "granted"
-                seeker.had()
+                self.last_reasons[duty] = "granted"
+                candidate.record_grant()
                 self._log("granted", duty, token=tenure.token.number, after=now - tenure.requested_at)
-                self._tell(duty, now)
-        elif seeker.asked_at >= 0 and tenure.is_quorum_unreachable(len(self.electorate.voters)):
+                self._announce(duty, now)
+        elif candidate.requested_at >= 0 and tenure.is_quorum_unreachable(len(self.electorate.voters)):
             left = max((each.left for each in tenure.refusals.values()), default=0)
             behind = any(each.why == "behind" for each in tenure.refusals.values())
-            self._withdraw(duty, now)
-            seeker.failed(now, 0 if behind else left)
+            self._release_token(duty, now)
+            candidate.back_off(now, 0 if behind else left)
 
-    def _take(self, take: words.Take, unix: int, now: int) -> None:
+    def _handle_handover(self, handover: messages.Handover, unix: int, now: int) -> None:
         """The holder gave it back for us: we ask at once, above its token."""
-        if take.duty not in self.declared or self.leaving or self.version_tracker.newer_version():
+        if handover.duty not in self.declared or self.leaving or self.version_tracker.newer_version():
             return
-        tenure, seeker = self.tenures[take.duty], self.seekers[take.duty]
-        self._lapse(take.duty, now)
-        tenure.observe_token(take.token)
-        word = self.word.get(take.duty)
-        if word is not None and word.token <= take.token:
-            del self.word[take.duty]
-        if tenure.holds(now) or not self._able(take.duty, now):
+        tenure, candidate = self.tenures[handover.duty], self.candidates[handover.duty]
+        self._end_if_expired(handover.duty, now)
+        tenure.observe_token(handover.token)
+        report = self.holder_reports.get(handover.duty)
+        if report is not None and report.token <= handover.token:
+            del self.holder_reports[handover.duty]
+        if tenure.holds(now) or not self._can_perform(handover.duty, now):
             return
-        self._withdraw(take.duty, now)
+        self._release_token(handover.duty, now)
         tenure.begin(unix, now)
-        seeker.began(now)
-        self._ask(take.duty, now)
+        candidate.record_request(now)
+        self._send_requests(handover.duty, now)
 
-    def _word(self, sender: str, held: words.Held, now: int) -> None:
-        if held.token.name != sender:
+    def _handle_notice(self, sender: str, notice: messages.HolderNotice, now: int) -> None:
+        if notice.token.name != sender:
             return
-        if self.is_voter and self.voter.handles(held.duty):
-            self.voter.promise_for(held.duty).observe_token(held.token)
-        if held.duty not in self.declared:
+        if self.is_voter and self.voter.handles(notice.duty):
+            self.voter.promise_for(notice.duty).observe_token(notice.token)
+        if notice.duty not in self.declared:
             return
-        tenure, known = self.tenures[held.duty], self.word.get(held.duty)
-        tenure.observe_token(held.token)
-        if known is not None and held.token < known.token:
+        tenure, known = self.tenures[notice.duty], self.holder_reports.get(notice.duty)
+        tenure.observe_token(notice.token)
+        if known is not None and notice.token < known.token:
             return
-        left = min(held.left, self.declared[held.duty].terms.lease)
+        left = min(notice.left, self.declared[notice.duty].terms.lease)
         if not left:
-            self.word.pop(held.duty, None)
+            self.holder_reports.pop(notice.duty, None)
             return
         if known is None or known.holder != sender:
-            self._log("holder", held.duty, holder=sender, token=held.token.number)
-        self.word[held.duty] = Word(sender, held.token, now + left, held.note)
+            self._log("holder", notice.duty, holder=sender, token=notice.token.number)
+        self.holder_reports[notice.duty] = HolderReport(sender, notice.token, now + left, notice.note)
 
     def _log(self, code: str, duty: str, **fields: object) -> None:
         if len(self.events) < 1_000:
--- a/limeridge/duty/words.py
+++ b/limeridge/duty/messages.py
@@ -13,7 +13,7 @@
 from limeridge.duty.ballots import Token
 
 
-class Ask(Struct, frozen=True, array_like=True, tag="a"):
+class LeaseRequest(Struct, frozen=True, array_like=True, tag="a"):
     """May I have, or go on with, this duty under this token? `seq` comes back with the answer."""
 
     duty: str
@@ -22,7 +22,7 @@
     version: int  # of the set of voters
 
 
-class Answer(Struct, frozen=True, array_like=True, tag="y"):
+class LeaseAnswer(Struct, frozen=True, array_like=True, tag="y"):
     """A voter's answer to asking `seq` under `token`; `why` is empty where it granted, else a reason code."""
 
     duty: str
@@ -35,7 +35,7 @@
     left: int = 0
 
 
-class Back(Struct, frozen=True, array_like=True, tag="b"):
+class LeaseRelease(Struct, frozen=True, array_like=True, tag="b"):
     """To voters: I hold it no more; for `keep` microseconds only the successor may have it."""
 
     duty: str
@@ -44,14 +44,14 @@
     keep: int = 0
 
 
-class Take(Struct, frozen=True, array_like=True, tag="t"):
+class Handover(Struct, frozen=True, array_like=True, tag="t"):
     """To a successor: I gave it back for you."""
 
     duty: str
     token: Token
 
 
-class Held(Struct, frozen=True, array_like=True, tag="h"):
+class HolderNotice(Struct, frozen=True, array_like=True, tag="h"):
     """To all: I hold it for so many microseconds more at least, unless you hear that I gave it up (`left`
     0)."""
 
@@ -61,13 +61,13 @@
     note: bytes = b""  # what the duty's own part has to say
 
 
-class Recall(Struct, frozen=True, array_like=True, tag="r"):
+class RecoveryQuery(Struct, frozen=True, array_like=True, tag="r"):
     """From a voter that has started: what do you know?"""
 
     version: int
 
 
-class Known(Struct, frozen=True, array_like=True, tag="k"):
+class RecoveryReport(Struct, frozen=True, array_like=True, tag="k"):
     """The highest token of each duty that a voter knows of, and whether it remembers all that it granted."""
 
     version: int
@@ -90,7 +90,17 @@
     to: str = ""  # the life that asked: two processes may have one name
 
 
-Body = Need | Grant | Ask | Answer | Back | Take | Held | Recall | Known
+Body = (
+    Need
+    | Grant
+    | LeaseRequest
+    | LeaseAnswer
+    | LeaseRelease
+    | Handover
+    | HolderNotice
+    | RecoveryQuery
+    | RecoveryReport
+)
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(Body)
 
--- a/limeridge/duty/probe.py
+++ b/limeridge/duty/probe.py
@@ -48,7 +48,7 @@
     """One instance's."""
 
     pace: Pace
-    chance: random.Random
+    rng: random.Random
     state: State = State.UP
     step: int = 0  # of a rise
     since: int = 0
@@ -86,7 +86,7 @@
         if holds:
             return min(pace.gap_most, pace.gap << min(self.tries, 10))
         bound = min(pace.alone_most, pace.alone << min(self.tries, 10))
-        return max(1, int(self.chance.uniform(0, bound)))
+        return max(1, int(self.rng.uniform(0, bound)))
 
     def _pass(self, now: int) -> None:
         while self.state is State.RISING and now >= self.since + self.pace.step:
--- a/limeridge/peers/link.py
+++ b/limeridge/peers/link.py
@@ -30,7 +30,7 @@
 from limeridge.duty.allotting import DUTY as ALLOT
 from limeridge.duty.allotting import Allotting
 from limeridge.duty.delegate import DutyDelegate
-from limeridge.duty.member import Declared, Duties
+from limeridge.duty.member import Duties, DutySpec
 from limeridge.peers.gate import Gate
 from limeridge.peers.members import Address, Claim
 from limeridge.peers.messages import DATAGRAM_MOST, STREAM_MOST, Foreign, Message, Table, decode, encode
@@ -208,7 +208,7 @@
         elif asked == b"brief":
             told = self.link.brief()
         elif asked == b"duties":
-            told = self.link.duties.shown(self.link.clock()) if self.link.duties is not None else {}
+            told = self.link.duties.status(self.link.clock()) if self.link.duties is not None else {}
         elif asked.startswith((b"release ", b"move ")):
             told = self.link.hand_over(asked.decode("utf-8", "replace").split("\t"))
         elif asked == b"events":
@@ -296,9 +296,9 @@
         declared, name = {}, f"list-read {own.zone}".strip()
         if told.list_read:
             meanwhile = "each reads for itself, seldom"
-            declared[name] = Declared(name, told.terms, meanwhile=meanwhile)
+            declared[name] = DutySpec(name, told.terms, meanwhile=meanwhile)
         if told.allot:
-            declared[ALLOT] = Declared(ALLOT, told.terms, meanwhile="floors alone")
+            declared[ALLOT] = DutySpec(ALLOT, told.terms, meanwhile="floors alone")
         duties = Duties(
             own.name, own.life.nonce, told.electorate, declared, told.waits, chance, now, told.terms
         )
--- a/limeridge/peers/setup.py
+++ b/limeridge/peers/setup.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 
 from limeridge.duty.ballots import Terms as DutyTerms
+from limeridge.duty.candidacy import CandidateTiming
 from limeridge.duty.electorate import Electorate
-from limeridge.duty.seek import Waits
 from limeridge.peers.habits import Habits
 from limeridge.peers.members import Address
 from limeridge.peers.messages import key_of
@@ -33,7 +33,7 @@
 
     electorate: Electorate
     terms: DutyTerms
-    waits: Waits
+    waits: CandidateTiming
     list_read: bool
     allot: int  # microseconds that a grant of calls lasts; 0 where the limit is not dealt by need
 
@@ -229,7 +229,12 @@
     return DutySetup(
         _electorate(duties),
         DutyTerms(lease, drift, margin=min(50 * MS, lease // 10)),
-        Waits(step, answer=2 * step, longest=10 * step, steady=int((duties.steady_ms or 30_000) * MS)),
+        CandidateTiming(
+            step,
+            answer_timeout=2 * step,
+            max_backoff=10 * step,
+            min_presence=int((duties.steady_ms or 30_000) * MS),
+        ),
         duties.list_read,
         int((duties.allot_ms or 1_500) * MS) if duties.ledger_allot else 0,
     )
--- a/limeridge/sim/duties.py
+++ b/limeridge/sim/duties.py
@@ -16,10 +16,10 @@
 from limeridge.duty.allot import Taker
 from limeridge.duty.allotting import DUTY, Allotting
 from limeridge.duty.ballots import NO_TOKEN, Terms, Token
+from limeridge.duty.candidacy import CandidateTiming
 from limeridge.duty.delegate import DutyDelegate
 from limeridge.duty.electorate import Electorate
-from limeridge.duty.member import Declared, Duties
-from limeridge.duty.seek import Waits
+from limeridge.duty.member import Duties, DutySpec
 from limeridge.sim import gossip
 from limeridge.sim.gossip import MS, SECOND, Fleet, Process, Setting
 
@@ -29,10 +29,12 @@
 WAY = 200, 3_000  # microseconds that an act takes to the resource
 ACT_MOST = 400 * MS  # that an act may take at the open resource: the wait before the first one
 DECLARED = {
-    CHECKED: Declared(CHECKED, Terms(LEASE), checks=True, meanwhile="nothing"),
-    OPEN: Declared(OPEN, Terms(LEASE), wait=ACT_MOST + 100 * MS, meanwhile="nothing"),
+    CHECKED: DutySpec(CHECKED, Terms(LEASE), checks_tokens=True, meanwhile="nothing"),
+    OPEN: DutySpec(OPEN, Terms(LEASE), first_act_delay=ACT_MOST + 100 * MS, meanwhile="nothing"),
 }
-WAITS = Waits(step=100 * MS, answer=300 * MS, longest=1_500 * MS, steady=4 * SECOND)
+WAITS = CandidateTiming(
+    rank_delay=100 * MS, answer_timeout=300 * MS, max_backoff=1_500 * MS, min_presence=4 * SECOND
+)
 FORGET = {"all", "amnesia", "step", "kill", "replace"}  # troubles that make voters forget, or clocks step
 GAP_LOOK = 20 * MS
 
@@ -92,7 +94,7 @@
         self.allot_terms = allot.Terms(terms.surplus, 1_000 * MS, terms.longest, terms.drift)
         self.declared = dict(DECLARED)
         if allots:
-            self.declared[DUTY] = Declared(DUTY, Terms(LEASE), meanwhile="floors alone")
+            self.declared[DUTY] = DutySpec(DUTY, Terms(LEASE), meanwhile="floors alone")
         self.names = tuple(f"n{number}" for number in range(self.voters))
 
     def start(self, number: int, host: str = "") -> Process:
@@ -124,7 +126,7 @@
 
         def act() -> None:
             for duty in DECLARED:
-                token = delegate.duties.may(duty, process.clock())
+                token = delegate.duties.fencing_token(duty, process.clock())
                 if token is not None:
                     arrives = partial(self.arrived, process, delegate, duty, token, self.now)
                     self.after(int(chance.uniform(*WAY)), arrives)
@@ -145,7 +147,7 @@
                 if not late and not self.forgets:
                     told = f"{process.name} acted under {token.number}, {highest.number} was there"
                     self.broke("stale", told)
-                delegate.duties.refused(duty, highest, process.clock())
+                delegate.duties.handle_stale_token(duty, highest, process.clock())
             elif not resource.checks:
                 if late:  # it stood still between look and act: no lease prevents that, and it is counted
                     resource.acts.pop()
--- a/limeridge/sim/outage.py
+++ b/limeridge/sim/outage.py
@@ -12,11 +12,11 @@
 from functools import partial
 
 from limeridge.duty.ballots import Terms
+from limeridge.duty.candidacy import CandidateTiming
 from limeridge.duty.delegate import DutyDelegate
 from limeridge.duty.electorate import Electorate
-from limeridge.duty.member import Declared, Duties
+from limeridge.duty.member import Duties, DutySpec
 from limeridge.duty.probe import Outlook, Pace, State
-from limeridge.duty.seek import Waits
 from limeridge.peers.shares import Terms as Shares
 from limeridge.sim.gossip import MS, QUICK, SECOND, Fleet, Process, Setting
 
@@ -52,9 +52,15 @@
         chance = random.Random(f"outage {self.setting.seed} {number}")
         outlook, own = Outlook(Pace(), chance), process.peer.own
         voters = tuple(f"n{each}" for each in range(min(5, self.setting.members)))
-        declared = {DUTY: Declared(DUTY, Terms(1_500 * MS), meanwhile="each tries by itself, seldom")}
+        declared = {DUTY: DutySpec(DUTY, Terms(1_500 * MS), meanwhile="each tries by itself, seldom")}
         duties = Duties(
-            own.name, own.life.nonce, Electorate(1, voters), declared, Waits(), chance, process.clock()
+            own.name,
+            own.life.nonce,
+            Electorate(1, voters),
+            declared,
+            CandidateTiming(),
+            chance,
+            process.clock(),
         )
         if self.duty:
             process.peer.attach(DutyDelegate(duties), process.clock())
@@ -69,15 +75,15 @@
     def call(self, process: Process, duties: Duties, outlook: Outlook, chance: random.Random) -> None:
         now = process.clock()
         holder = duties.holder(DUTY, now)
-        word = duties.word.get(DUTY)
+        word = duties.holder_reports.get(DUTY)
         if word is not None and now < word.until and word.note:
             outlook.heard(word.note, now)
-        holds = duties.may(DUTY, now) is not None
+        holds = duties.fencing_token(DUTY, now) is not None
         if holds:
             before = duties.notes.get(DUTY)
             duties.notes[DUTY] = outlook.note()
             if before != outlook.note():
-                duties.seekers[DUTY].renewed_at = 0  # a change is told at once
+                duties.candidates[DUTY].renewed_at = 0  # a change is told at once
                 process.peer.delegates.wake_at["duty"] = now
         # Without the duty each tries as its callers ask: that is how it is today.
         if not self.duty or outlook.may(holds, bool(holder) and not holds, 0, SHARE, now):
--- a/tests/test_duty.py
+++ b/tests/test_duty.py
@@ -12,12 +12,12 @@
 from hypothesis import strategies as st
 
 from limeridge.cli.duty import check as check_command
-from limeridge.duty import allot, check, words
+from limeridge.duty import allot, check, messages
 from limeridge.duty.ballots import NO_TOKEN, RECOVERY_TIMEOUT_FACTOR, Promise, Terms, Token, Voter
+from limeridge.duty.candidacy import Candidate, CandidateTiming
 from limeridge.duty.electorate import Electorate, VersionTracker
-from limeridge.duty.member import Declared, Duties
+from limeridge.duty.member import Duties, DutySpec
 from limeridge.duty.probe import Outlook, Pace, State
-from limeridge.duty.seek import Seeker, Waits
 from limeridge.duty.tenure import Tenure
 from limeridge.sim import duties as sim_duties
 from limeridge.sim import outage
@@ -213,37 +213,37 @@
 
 def test_the_first_by_rank_asks_at_once_others_later_and_refusals_are_waited_out() -> None:
     names = [f"n{number}" for number in range(8)]
-    waits = Waits(step=100, answer=300, longest=5_000, steady=10_000)
-    seekers = {name: Seeker("d", name, waits, 1_000, random.Random(name)) for name in names}
-    ranked = seekers["n0"].ranked(names)
-    assert sorted(ranked) == names and all(each.ranked(names) == ranked for each in seekers.values())
+    timing = CandidateTiming(rank_delay=100, answer_timeout=300, max_backoff=5_000, min_presence=10_000)
+    candidates = {name: Candidate("d", name, timing, 1_000, random.Random(name)) for name in names}
+    ranked = candidates["n0"].ranked(names)
+    assert sorted(ranked) == names and all(each.ranked(names) == ranked for each in candidates.values())
     for name in names:
-        seekers[name].sees(False, 50)
-    assert [name for name in names if seekers[name].asks(names, 50)] == [ranked[0]]
-    second = seekers[ranked[1]]
-    assert not second.asks(names, 149) and second.asks(names, 150)
-    second.began(150)
-    assert not second.late(449) and second.late(450)
+        candidates[name].observe_holder(False, 50)
+    assert [name for name in names if candidates[name].should_request(names, 50)] == [ranked[0]]
+    second = candidates[ranked[1]]
+    assert not second.should_request(names, 149) and second.should_request(names, 150)
+    second.record_request(150)
+    assert not second.has_timed_out(449) and second.has_timed_out(450)
     bounds = []
     for _ in range(12):
-        second.failed(1_000)
-        bounds.append(second.next_at - 1_000)
-    assert max(bounds[:2]) <= 200 and max(bounds) <= waits.longest + 1 and max(bounds[4:]) > 800
-    second.failed(1_000, left=700)
-    assert second.next_at > 1_700, "nobody can have it before the promise in the way lapses"
+        second.back_off(1_000)
+        bounds.append(second.next_request_at - 1_000)
+    assert max(bounds[:2]) <= 200 and max(bounds) <= timing.max_backoff + 1 and max(bounds[4:]) > 800
+    second.back_off(1_000, left=700)
+    assert second.next_request_at > 1_700, "nobody can have it before the promise in the way lapses"
 
 
 def test_a_duty_goes_back_only_to_one_that_has_been_there_for_long() -> None:
     names = ["n0", "n1", "n2"]
-    waits = Waits(steady=1_000)
-    first, second, _ = Seeker("d", "n0", waits, 1_000, random.Random(1)).ranked(names)
-    holder = Seeker("d", second, waits, 1_000, random.Random(1))
-    assert holder.successor(names, 0) == ""
-    assert holder.successor([name for name in names if name != first], 900) == ""
-    assert holder.successor(names, 1_000) == "", "it was gone for a moment: its time begins anew"
-    assert holder.successor(names, 2_000) == first
-    assert holder.successor(names, 2_100) == "", "it came back to us: not offered again at once"
-    assert holder.successor(names, 3_100) == first
+    timing = CandidateTiming(min_presence=1_000)
+    first, second, _ = Candidate("d", "n0", timing, 1_000, random.Random(1)).ranked(names)
+    holder = Candidate("d", second, timing, 1_000, random.Random(1))
+    assert holder.select_successor(names, 0) == ""
+    assert holder.select_successor([name for name in names if name != first], 900) == ""
+    assert holder.select_successor(names, 1_000) == "", "it was gone for a moment: its time begins anew"
+    assert holder.select_successor(names, 2_000) == first
+    assert holder.select_successor(names, 2_100) == "", "it came back to us: not offered again at once"
+    assert holder.select_successor(names, 3_100) == first
 
 
 # ---- members together, by hand
@@ -255,21 +255,23 @@
     def __init__(self, names: str = "abc", way: int = 1_000, **more: Any) -> None:
         self.now, self.way, self.queue = 0, way, []  # type: ignore[var-annotated]
         self.electorate = Electorate(1, tuple(names[:3]))
-        self.declared = {"d": Declared("d", TERMS, **more)}
+        self.declared = {"d": DutySpec("d", TERMS, **more)}
         self.cut: set[str] = set()
         self.all = {name: self.made(name) for name in names}
         self.run(3 * SECOND)
 
     def made(self, name: str) -> Duties:
-        waits = Waits(step=50 * MS, answer=100 * MS, longest=SECOND, steady=20 * SECOND)
-        return Duties(name, 1, self.electorate, self.declared, waits, random.Random(name), self.now)
+        timing = CandidateTiming(
+            rank_delay=50 * MS, answer_timeout=100 * MS, max_backoff=SECOND, min_presence=20 * SECOND
+        )
+        return Duties(name, 1, self.electorate, self.declared, timing, random.Random(name), self.now)
 
     def send(self, name: str) -> None:
         member = self.all[name]
         for to, body in member.out:
             for other in self.all:
                 if other != name and (not to or to == other) and not {name, other} & self.cut:
-                    self.queue.append((self.now + self.way, name, other, words.encode(body)))
+                    self.queue.append((self.now + self.way, name, other, messages.encode(body)))
         member.out.clear()
 
     def run(self, span: int) -> None:
@@ -281,9 +283,9 @@
                 [each for each in self.queue if each[0] > self.now],
             )
             for _, sender, to, data in due:
-                body = words.decode(data)
+                body = messages.decode(data)
                 if to in self.all and body is not None:
-                    self.all[to].heard(sender, body, 1_000_000 + self.now, self.now)
+                    self.all[to].handle_message(sender, body, 1_000_000 + self.now, self.now)
                     self.send(to)
             for name, member in list(self.all.items()):
                 if self.now >= member.next_at(self.now - 1):
@@ -304,13 +306,13 @@
     before = band.all[holder].tenures["d"].token
     band.all[holder].leave(band.now)
     band.send(holder)
-    assert band.all[holder].may("d", band.now) is None
+    assert band.all[holder].fencing_token("d", band.now) is None
     at = band.now
     while not band.holders():
         band.run(500)
     assert band.now - at <= 4 * band.way, "word to the successor, its asking, the answers"
-    [heir] = band.holders()
-    assert band.all[heir].tenures["d"].token > before and heir != holder
+    [successor] = band.holders()
+    assert band.all[successor].tenures["d"].token > before and successor != holder
 
 
 def test_a_holder_that_is_cut_off_loses_it_before_another_has_it() -> None:
@@ -329,11 +331,11 @@
 
 
 def test_a_resource_that_knows_better_ends_a_hold_and_the_next_token_is_above() -> None:
-    band = Band(checks=True)
+    band = Band(checks_tokens=True)
     [holder] = band.holders()
     far = Token(10**12, "q", 9)
-    band.all[holder].refused("d", far, band.now)
-    assert band.all[holder].may("d", band.now) is None
+    band.all[holder].handle_stale_token("d", far, band.now)
+    assert band.all[holder].fencing_token("d", band.now) is None
     band.send(holder)
     band.run(3 * SECOND)
     [now] = band.holders()
@@ -346,61 +348,61 @@
 def test_one_that_doubts_itself_or_is_unable_gives_it_up() -> None:
     band = Band()
     [holder] = band.holders()
-    band.all[holder].doubts = True
+    band.all[holder].is_degraded = True
     band.run(SECOND)
     assert band.holders() and holder not in band.holders()
     [other] = band.holders()
 
     class Unable:
-        def able(self, now: int) -> bool:
+        def can_perform(self, now: int) -> bool:
             return False
 
     band.all[other].work["d"] = Unable()
     band.run(SECOND)
     assert band.holders() and not {holder, other} & set(band.holders())
-    assert band.all[other].why["d"] == "unable"
+    assert band.all[other].last_reasons["d"] == "unable"
 
 
 def test_without_tokens_at_the_resource_the_first_act_waits() -> None:
-    band = Band(wait=700 * MS)
+    band = Band(first_act_delay=700 * MS)
     [holder] = band.holders()
     band.all[holder].leave(band.now)
     band.send(holder)
     while not band.holders():
         band.run(500)
-    [heir] = band.holders()
-    assert band.all[heir].may("d", band.now) is None
+    [successor] = band.holders()
+    assert band.all[successor].fencing_token("d", band.now) is None
     band.run(701 * MS)
-    assert band.all[heir].may("d", band.now) is not None
+    assert band.all[successor].fencing_token("d", band.now) is not None
 
 
 def test_a_hold_that_ran_out_unseen_is_over_before_the_duty_is_passed_back() -> None:
     """Seed 2097: it lapsed, another had it and passed it back before the first was awake again; without a
     look at that, its first act did not wait."""
-    band = Band(wait=700 * MS)
+    band = Band(first_act_delay=700 * MS)
     [holder] = band.holders()
     band.run(SECOND)
     member = band.all[holder]
-    assert member.may("d", band.now) is not None
+    assert member.fencing_token("d", band.now) is not None
     later = band.now + 2 * TERMS.lease  # it did nothing meanwhile
-    member.heard("q", words.Take("d", Token(10**12, "q", 9)), 0, later)
+    member.handle_message("q", messages.Handover("d", Token(10**12, "q", 9)), 0, later)
     asked, seq = member.tenures["d"].token, member.seq
     for voter in band.electorate.voters:
         if voter != holder:
-            member.heard(voter, words.Answer("d", asked, seq, 1, "", asked), 0, later)
-    assert member.tenures["d"].holds(later) and member.may("d", later) is None
-    assert member.may("d", later + 701 * MS) is not None
+            member.handle_message(voter, messages.LeaseAnswer("d", asked, seq, 1, "", asked), 0, later)
+    assert member.tenures["d"].holds(later) and member.fencing_token("d", later) is None
+    assert member.fencing_token("d", later + 701 * MS) is not None
 
 
 def test_bodies_that_are_none_are_passed_over() -> None:
     chance = random.Random(4)
-    good = words.encode(words.Ask("d", token(3), 1, 1))
-    assert words.decode(good) == words.Ask("d", token(3), 1, 1)
+    good = messages.encode(messages.LeaseRequest("d", token(3), 1, 1))
+    assert messages.decode(good) == messages.LeaseRequest("d", token(3), 1, 1)
     for _ in range(300):
         data = bytearray(good)
         data[chance.randrange(len(data))] = chance.randrange(256)
-        words.decode(bytes(data[: chance.randrange(1, len(data) + 1)]))
-    assert words.decode(b"\xff\x00") is None
+        messages.decode(bytes(data[: chance.randrange(1, len(data) + 1)]))
+    assert messages.decode(b"\xff\x00") is None
 
 
 # ---- the search, and seeds
