--- a/limeridge/duty/member.py
+++ b/limeridge/duty/member.py
@@ -1,8 +1,8 @@
-"""One instance's part in all duties: it votes, seeks, holds, renews, hands on.
+"""One instance's part in all duties: voting, requesting, holding, renewing and handing over.
 
-It owns the order in which voter, electorate, tenures and seekers hear of things. It must never open a socket,
-look at a clock or do a duty's work: `out` holds what is to be sent, `events` what is to be logged, and
-whoever does the work asks `may` right before each act.
+Owns the order in which the voter, voter set versions, tenures and candidates are updated. It never opens a
+socket, reads a clock or performs a duty: `out` holds messages to send, `events` lines to log, and the code
+that performs a duty calls `fencing_token` right before each action.
 """
 
 from __future__ import annotations
@@ -18,26 +18,26 @@
 from limeridge.duty.electorate import Electorate, VersionTracker
 from limeridge.duty.tenure import Tenure
 
-RECOVERY_QUERIES_PER_PROMISE = 4  # a hold, until it knows
+RECOVERY_QUERIES_PER_PROMISE = 4  # per longest promise, until recovery has completed
 MAX_PENDING_REQUESTS = 64
 
 
 @dataclass(slots=True, frozen=True)
 class DutySpec:
-    """A duty. `checks`: the resource compares tokens; where it does not, the first act waits for `wait`, so
-    that whatever an older holder had begun is over. `meanwhile`: what is done while nobody holds it, for
-    those who read `limeridge duty show`."""
+    """Declaration of a duty. `checks_tokens`: the resource compares fencing tokens. If it does not, a new
+    holder waits `first_act_delay` before its first action, so that all actions that the previous holder had
+    started are over. `meanwhile`: what happens while the duty has no holder, for `limeridge duty show`."""
 
     name: str
     terms: Terms = field(default_factory=Terms)
     checks_tokens: bool = False
-    first_act_delay: int = 0  # microseconds before the first act
+    first_act_delay: int = 0  # microseconds
     meanwhile: str = "nothing"
 
 
 @dataclass(slots=True, frozen=True)
 class Event:
-    """A line for the log."""
+    """A log line."""
 
     code: str
     duty: str
@@ -45,16 +45,16 @@
 
 
 class DutyWork(Protocol):
-    """Who does a duty. `able`: whether it could, now (its resource is in reach, it is not itself
-    overloaded)."""
+    """The code that performs a duty."""
 
     def can_perform(self, now: int) -> bool:
-        """Whether this member can do the work of the duty just now; asked before it asks for the duty."""
+        """Whether this member can perform the duty at `now` (its resource is reachable and it is not
+        overloaded); checked before it requests the duty and while it holds it."""
 
 
 @dataclass(slots=True)
 class HolderReport:
-    """Of somebody's holding a duty, as last heard."""
+    """The holder of a duty as last reported by its own notice, valid until `until`."""
 
     holder: str
     token: Token
@@ -63,7 +63,7 @@
 
 
 class Duties:
-    """All duties at one member: its tenures, its vote, and when it asks."""
+    """All duties at one member: its vote, its candidacies and its leases."""
 
     def __init__(
         self,
@@ -76,7 +76,8 @@
         now: int,
         usual: Terms | None = None,
     ) -> None:
-        """`declared` are those that this instance seeks; it votes on others under the terms `usual`."""
+        """`declared` are the duties that this instance is a candidate for; it votes on others under the terms
+        `usual`."""
         self.own, self.nonce, self.electorate, self.declared = own, nonce, electorate, dict(declared)
         terms = {name: each.terms for name, each in self.declared.items()}
         self.is_voter = own in electorate.voters
@@ -91,23 +92,22 @@
         self.work: dict[str, DutyWork] = {}
         self.holder_reports: dict[str, HolderReport] = {}
         self.held_since: dict[str, int] = {}
-        self.notes: dict[str, bytes] = {}  # what goes along with word of our own holdings
-        self.last_reasons: dict[str, str] = {}  # of the last change, for `show`
-        self.pending_requests: dict[int, tuple[str, int]] = {}  # of askings: duty, when they were sent
+        self.notes: dict[str, bytes] = {}  # by duty: sent along with this holder's notices
+        self.last_reasons: dict[str, str] = {}  # by duty: reason of the last change, for `show`
+        self.pending_requests: dict[int, tuple[str, int]] = {}  # by number: duty, send time
         self.seq = 0
-        self.out: list[tuple[str, messages.Body]] = []  # to a member's name, or to all where it is empty
+        self.out: list[tuple[str, messages.Body]] = []  # receiver's name, or empty for all members
         self.events: list[Event] = []
         self.present: tuple[str, ...] = (own,)
         self.leaving = self.is_degraded = False
-        self.next_recovery_query = (
-            now + self.voter.max_promise_duration
-        )  # what is told before counts for nothing
+        # Reports that arrive during the silent period do not count.
+        self.next_recovery_query = now + self.voter.max_promise_duration
 
-    # ---- what the work sees
+    # ---- for the code that performs duties
 
     def fencing_token(self, duty: str, now: int) -> Token | None:
-        """The token to act under, right now; None where we must not act. To be asked before each act, with
-        the time as it is then."""
+        """The token to act under at `now`; None if this member must not act. Must be called before each
+        action, with the current time."""
         tenure = self.tenures[duty]
         if (
             not tenure.holds(now)
@@ -117,21 +117,22 @@
         return tenure.token
 
     def handle_stale_token(self, duty: str, highest: Token, now: int) -> None:
-        """The resource knows of a newer token than ours: ours is over, whatever the voters said."""
+        """Called when the resource refused our token for a newer one; releases the duty even if the lease is
+        still valid."""
         tenure = self.tenures[duty]
         tenure.observe_token(highest)
         if tenure.token != NO_TOKEN and not tenure.released and highest > tenure.token:
             self._release_duty(duty, "refused", now)
 
     def holder(self, duty: str, now: int) -> str:
-        """Who holds it, as far as is known here; empty for nobody."""
+        """Name of the known holder; empty if there is none."""
         if self.tenures[duty].holds(now):
             return self.own
         report = self.holder_reports.get(duty)
         return report.holder if report is not None and now < report.until else ""
 
     def status(self, now: int) -> dict[str, object]:
-        """For people: who holds what, as far as is known here."""
+        """The known holders and voters, for `limeridge duty show`."""
         rows = []
         for name, each in self.declared.items():
             tenure, report = self.tenures[name], self.holder_reports.get(name)
@@ -161,7 +162,7 @@
     # ---- time
 
     def next_at(self, now: int) -> int:
-        """When `wake` is to be called next, microseconds."""
+        """When `wake` must be called next, in microseconds."""
         if self.leaving:
             return 1 << 62
         times = [
@@ -175,7 +176,8 @@
         return max(now + 1, min(times, default=1 << 62))
 
     def wake(self, present: tuple[str, ...], unix: int, now: int) -> None:
-        """`present`: names of all members held to be there, ourselves among them."""
+        """Does all work that is due. `present`: names of all members believed present, this one included;
+        `unix`: Unix time in microseconds."""
         if self.leaving:
             return
         self.present = present
@@ -212,8 +214,9 @@
             self._send_requests(duty, now)
 
     def _end_if_expired(self, duty: str, now: int) -> None:
-        """A hold that ran out is over, whether or not we were awake then: what follows is another one, whose
-        first act waits anew. To be seen to before anything that could begin it."""
+        """Records the end of a lease that has expired, possibly while this process was paused. A later lease
+        is a new one, and its first action is delayed again. Must run before anything that could start a
+        new lease."""
         if duty in self.held_since and not self.tenures[duty].holds(now):
             self._record_end(duty, "lapsed")
 
@@ -222,7 +225,7 @@
         return not self.is_degraded and (work is None or work.can_perform(now))
 
     def _maintain(self, duty: str, now: int) -> None:
-        """We hold it: go on, hand it on, or give it up."""
+        """Renews, hands over or releases a duty that this member holds."""
         candidate = self.candidates[duty]
         if self.version_tracker.newer_version():
             self._release_duty(duty, "newer-set", now)
@@ -240,10 +243,10 @@
             self._send_requests(duty, now)
             self._announce(duty, now)
 
-    # ---- asking and giving back
+    # ---- requesting and releasing
 
     def _send_requests(self, duty: str, now: int) -> None:
-        """The time is taken before anything is sent: the lease runs from here."""
+        """Sends a request to all voters. The lease starts at `now`, which is read before anything is sent."""
         tenure = self.tenures[duty]
         self.seq += 1
         self.pending_requests[self.seq] = duty, now
@@ -257,7 +260,7 @@
                 self.out.append((name, request))
 
     def _release_token(self, duty: str, now: int, successor: str = "") -> None:
-        """Voters that granted are free again; the token is used no more."""
+        """Gives up the current token, so that voters may promise the duty to others."""
         tenure = self.tenures[duty]
         if tenure.token == NO_TOKEN or tenure.released:
             return
@@ -270,7 +273,7 @@
 
     def _release_duty(self, duty: str, why: str, now: int, successor: str = "") -> None:
         token = self.tenures[duty].token
-        # No act from here on: the voters may hear of it at once.
+        # This member no longer acts from here on, so the voters may learn of it at once.
         self._release_token(duty, now, successor)
         if duty in self.held_since:
             self._record_end(duty, why, successor)
@@ -290,31 +293,31 @@
             self.out.append(("", messages.HolderNotice(duty, tenure.token, left, self.notes.get(duty, b""))))
 
     def release(self, duty: str, successor: str, now: int) -> str:
-        """By hand: given up, or passed to `successor` where one is named. What stands in the way, in words;
-        empty where it is done."""
+        """Releases the duty on an operator's request, to `successor` if one is named. Returns an error
+        message; empty on success."""
         if duty not in self.declared:
             return f"expected one of {', '.join(sorted(self.declared)) or 'no duties at all'}, got {duty!r}"
         if not self.tenures[duty].holds(now):
             return f"{self.own} does not hold {duty}, {self.holder(duty, now) or 'nobody'} does"
         if successor and (successor == self.own or successor not in self.present):
-            return f"expected another member that is there, got {successor!r}"
+            return f"expected another member that is present, got {successor!r}"
         self._release_duty(duty, "by-hand", now, successor)
-        # Not at once ours again.
+        # Keeps this member from requesting the duty again at once.
         self.candidates[duty].back_off(now, self.tenures[duty].terms.lease)
         return ""
 
     def leave(self, now: int) -> None:
-        """Before a drain: what we hold goes to the next, and we vote no more."""
+        """Called before a drain: hands over all duties that are held, and stops voting."""
         for duty in list(self.held_since):
             self._release_duty(duty, "drain", now, self.candidates[duty].fallback_successor(self.present))
         for duty in self.declared:
             self._release_token(duty, now)
         self.leaving = True
 
-    # ---- what came
+    # ---- received messages
 
     def handle_message(self, sender: str, body: messages.Body, unix: int, now: int) -> None:
-        """`sender` is a member's name."""
+        """Handles a message from the member named `sender`."""
         if isinstance(body, messages.LeaseRequest):
             self.version_tracker.observe_version(sender, body.version)
             self._handle_request(sender, body, now)
@@ -389,7 +392,8 @@
             candidate.back_off(now, 0 if behind else left)
 
     def _handle_handover(self, handover: messages.Handover, unix: int, now: int) -> None:
-        """The holder gave it back for us: we ask at once, above its token."""
+        """Requests a duty that its holder released in favour of this member, under a token above the
+        holder's."""
         if handover.duty not in self.declared or self.leaving or self.version_tracker.newer_version():
             return
         tenure, candidate = self.tenures[handover.duty], self.candidates[handover.duty]
