--- a/limeridge/duty/allot.py
+++ b/limeridge/duty/allot.py
@@ -1,22 +1,24 @@
-"""`ledger-allot`: the surplus of the fleet's limit dealt out by need, in grants that lapse.
-
-It owns the holder's book of what is out, the cut of the surplus by need, and what one instance may use of
-what it was granted. It must never look at a clock, send anything or trust a timer: a grant is looked at
-before each call.
-
-1. A taker uses a grant for `lasts` from before it asked, by its own clock; calls begun under it are over
-   `longest` later.
-2. The holder counts a grant as out until `lasts` + `longest` after it gave it, longer by the drift of both
-   clocks. A smaller grant to the same taker counts only once the larger one before it is over.
-3. A new holder deals nothing until all that an older one may have dealt is over: `wait`, from when it got the
-   duty. It holds under a lease by majority, so that no two deal at a time.
-
-Hence what is in use adds up to the surplus at most, over any change of holder: the book never has more out,
-and no two books count at one time. With the floors, which need nobody's word, that is the limit.
-
-Need is what a taker says that it could use, calls in hand and waiting. The cut is max-min fair: everybody
-gets what it asks for up to a level, the level as high as the surplus allows (water-filling; Bertsekas,
-Gallager, Data Networks, 1992, section 6.5.2), in whole calls.
+"""`ledger-allot`: distributes the surplus of the fleet's call limit by need, in grants that expire.
+
+Owns the holder's record of outstanding grants, the max-min fair shares, and what one instance may use of its
+last grant. It never reads a clock, sends messages or relies on a timer: a grant's validity is checked before
+each call.
+
+1. A grantee uses a grant for `grant_duration` from before it sent the request, by its own clock; calls begun
+   under the grant end within another `max_call_duration`.
+2. The holder counts a grant as outstanding for `grant_duration` + `max_call_duration` after it made it, plus
+   the drift of both clocks. A smaller grant to the same grantee lowers the total only when the larger one
+   before it has expired.
+3. A new holder grants nothing for `initial_wait` after it obtained the duty, until all grants of an earlier
+   holder have expired. It holds the duty under a lease by majority, so no two holders make grants at a time.
+
+Hence the calls in use never exceed the surplus, over any change of holder: one allocator never has more
+outstanding, and the grants of two allocators are never valid at the same time. Together with the floors,
+which need no grant, that is the fleet's limit.
+
+The need is what a grantee reports that it could use: its calls in progress and waiting. Shares are max-min
+fair: every grantee gets what it asks for up to a level that is as high as the surplus allows (water-filling;
+Bertsekas, Gallager, Data Networks, 1992, section 6.5.2), in whole calls.
 """
 
 from __future__ import annotations
@@ -32,47 +34,47 @@
     """The same at all instances. Times in microseconds."""
 
     surplus: int  # calls in hand at one time, above all floors
-    lasts: int = 1_500_000
-    longest: int = 2_000_000  # that a call may be at the records service
+    grant_duration: int = 1_500_000
+    max_call_duration: int = 2_000_000  # that a call may be at the records service
     drift: float = 0.001  # of each clock
 
     @property
-    def out(self) -> int:
+    def outstanding_duration(self) -> int:
         """As long as the holder counts it, a grant and the calls begun under it are surely over."""
-        return int((self.lasts + self.longest) * (1 + self.drift) / (1 - self.drift)) + 1
+        return int((self.grant_duration + self.max_call_duration) * (1 + self.drift) / (1 - self.drift)) + 1
 
     @property
-    def wait(self) -> int:
+    def initial_wait(self) -> int:
         """Of a new holder, before it deals: as long as a grant of the one before may be out."""
-        return self.out
+        return self.outstanding_duration
 
 
-def cut(needs: Mapping[str, int], surplus: int) -> dict[str, int]:
-    """Whole calls by taker, `surplus` at most in all; what is left over by whole calls goes to those whose
+def max_min_shares(needs: Mapping[str, int], surplus: int) -> dict[str, int]:
+    """Whole calls by grantee, `surplus` at most in all; what is left over by whole calls goes to those whose
     names score highest, the same at each cut."""
-    left, given = surplus, dict.fromkeys(needs, 0)
-    hungry = sorted((name for name in needs if needs[name] > 0), key=lambda name: (needs[name], name))
-    while hungry and left:
-        level = left // len(hungry)
+    left, shares = surplus, dict.fromkeys(needs, 0)
+    unsatisfied = sorted((name for name in needs if needs[name] > 0), key=lambda name: (needs[name], name))
+    while unsatisfied and left:
+        level = left // len(unsatisfied)
         if level == 0:
-            for name in sorted(hungry, key=lambda each: (-score_of(each, "allot"), each))[:left]:
-                given[name] += 1
+            for name in sorted(unsatisfied, key=lambda each: (-score_of(each, "allot"), each))[:left]:
+                shares[name] += 1
             break
-        filled = [name for name in hungry if needs[name] - given[name] <= level]
-        if not filled:
-            for name in hungry:
-                given[name] += level
+        satisfied = [name for name in unsatisfied if needs[name] - shares[name] <= level]
+        if not satisfied:
+            for name in unsatisfied:
+                shares[name] += level
                 left -= level
             continue
-        for name in filled:
-            left -= needs[name] - given[name]
-            given[name] = needs[name]
-        hungry = [name for name in hungry if given[name] < needs[name]]
-    return given
+        for name in satisfied:
+            left -= needs[name] - shares[name]
+            shares[name] = needs[name]
+        unsatisfied = [name for name in unsatisfied if shares[name] < needs[name]]
+    return shares
 
 
 @dataclass(slots=True)
-class Out:
+class OutstandingGrant:
     """What one holder may have in hand of the surplus, and until when at the latest."""
 
     calls: int
@@ -80,60 +82,68 @@
 
 
 @dataclass(slots=True)
-class Book:
+class CallAllocator:
     """The holder's. `begun`: when it got the duty, on its own clock."""
 
     terms: Terms
-    begun: int
-    needs: dict[str, tuple[int, int]] = field(default_factory=dict)  # by taker: need, and when it said so
-    out: dict[str, list[Out]] = field(default_factory=dict)
-
-    def total(self, now: int) -> int:
-        """Calls that may be in use by what was dealt: of each taker its largest grant that is not over."""
-        self._forget(now)
-        return sum(max((each.calls for each in some), default=0) for some in self.out.values())
-
-    def _forget(self, now: int) -> None:
-        for taker, some in list(self.out.items()):
-            self.out[taker] = [each for each in some if each.until > now]
-            if not self.out[taker]:
-                del self.out[taker]
-        for taker, (_, at) in list(self.needs.items()):
-            if now - at > 2 * self.terms.lasts:
-                del self.needs[taker]
-
-    def handle_request(self, taker: str, need: int, now: int) -> int:
-        """Calls granted to `taker` from now on, in place of what it had; it may be told 0."""
-        self.needs[taker] = max(0, need), now
-        if now < self.begun + self.terms.wait:
+    started_at: int
+    needs: dict[str, tuple[int, int]] = field(default_factory=dict)  # by grantee: need, and when it need so
+    outstanding: dict[str, list[OutstandingGrant]] = field(default_factory=dict)
+
+    def total_outstanding(self, now: int) -> int:
+        """Calls that may be in use by what was dealt: of each grantee its largest grant that is not over."""
+        self._drop_expired(now)
+        return sum(max((each.calls for each in grants), default=0) for grants in self.outstanding.values())
+
+    def _drop_expired(self, now: int) -> None:
+        for grantee, grants in list(self.outstanding.items()):
+            self.outstanding[grantee] = [each for each in grants if each.until > now]
+            if not self.outstanding[grantee]:
+                del self.outstanding[grantee]
+        for grantee, (_, at) in list(self.needs.items()):
+            if now - at > 2 * self.terms.grant_duration:
+                del self.needs[grantee]
+
+    def handle_request(self, grantee: str, need: int, now: int) -> int:
+        """Calls granted to `grantee` from now on, in place of what it had; it may be told 0."""
+        self.needs[grantee] = max(0, need), now
+        if now < self.started_at + self.terms.initial_wait:
             return 0
-        self._forget(now)
-        fair = cut({name: said for name, (said, _) in self.needs.items()}, self.terms.surplus)[taker]
-        had = max((each.calls for each in self.out.get(taker, ())), default=0)
-        free = self.terms.surplus - self.total(now) + had
+        self._drop_expired(now)
+        fair = max_min_shares(
+            {name: reported for name, (reported, _) in self.needs.items()}, self.terms.surplus
+        )[grantee]
+        previous = max((each.calls for each in self.outstanding.get(grantee, ())), default=0)
+        free = self.terms.surplus - self.total_outstanding(now) + previous
         calls = max(0, min(fair, free))
         if calls:
             # A grant that is covered by this one, in calls and in time, need not be remembered beside it.
-            rest = [each for each in self.out.get(taker, ()) if each.calls > calls]
-            self.out[taker] = [*rest, Out(calls, now + self.terms.out)]
+            larger = [each for each in self.outstanding.get(grantee, ()) if each.calls > calls]
+            self.outstanding[grantee] = [
+                *larger,
+                OutstandingGrant(calls, now + self.terms.outstanding_duration),
+            ]
         return calls
 
 
 @dataclass(slots=True)
-class Taker:
+class Grantee:
     """What one instance may use of what it was granted last."""
 
     terms: Terms
     calls: int = 0
-    asked_at: int = -1
+    requested_at: int = -1
 
-    def granted(self, calls: int, asked_at: int) -> None:
-        """`asked_at`: our own time before the asking was sent. An answer to an older asking changes
+    def record_grant(self, calls: int, sent_at: int) -> None:
+        """`sent_at`: our own time before the asking was sent. An answer to an older asking changes
         nothing."""
-        if asked_at > self.asked_at:
-            self.calls, self.asked_at = max(0, calls), asked_at
+        if sent_at > self.requested_at:
+            self.calls, self.requested_at = max(0, calls), sent_at
 
     def share(self, now: int) -> int:
         """Calls in hand above the floor, to be asked for before each call."""
-        fresh = self.asked_at >= 0 and self.asked_at <= now < self.asked_at + self.terms.lasts
+        fresh = (
+            self.requested_at >= 0
+            and self.requested_at <= now < self.requested_at + self.terms.grant_duration
+        )
         return self.calls if fresh else 0
--- a/limeridge/peers/link.py
+++ b/limeridge/peers/link.py
@@ -25,10 +25,10 @@
 
 from limeridge import __version__
 from limeridge.config import Setup, Unusable
-from limeridge.duty.allot import Taker
+from limeridge.duty.allot import Grantee
 from limeridge.duty.allot import Terms as AllotTerms
 from limeridge.duty.allotting import DUTY as ALLOT
-from limeridge.duty.allotting import Allotting
+from limeridge.duty.allotting import CallAllotment
 from limeridge.duty.delegate import DutyDelegate
 from limeridge.duty.member import Duties, DutySpec
 from limeridge.peers.gate import Gate
@@ -306,7 +306,9 @@
         terms = self.peer.terms
         if told.allot and terms is not None:
             allot = AllotTerms(terms.surplus, told.allot, terms.longest, terms.drift)
-            allotting = Allotting(allot, duties, Taker(allot), lambda: max(0, self.gate.need() - terms.floor))
+            allotting = CallAllotment(
+                allot, duties, Grantee(allot), lambda: max(0, self.gate.need() - terms.floor)
+            )
             self.peer.deal_by(allotting.share)
         if told.list_read:
             self.peer.discovery.reads_list = lambda at: duties.holder(name, at) in ("", own.name)
--- a/limeridge/sim/duties.py
+++ b/limeridge/sim/duties.py
@@ -13,8 +13,8 @@
 from functools import partial
 
 from limeridge.duty import allot
-from limeridge.duty.allot import Taker
-from limeridge.duty.allotting import DUTY, Allotting
+from limeridge.duty.allot import Grantee
+from limeridge.duty.allotting import DUTY, CallAllotment
 from limeridge.duty.ballots import NO_TOKEN, Terms, Token
 from limeridge.duty.candidacy import CandidateTiming
 from limeridge.duty.delegate import DutyDelegate
@@ -107,8 +107,8 @@
         )  # fmt: skip
         allotting = None
         if self.allots:
-            allotting = Allotting(
-                self.allot_terms, duties, Taker(self.allot_terms), need=lambda: self.setting.terms.limit
+            allotting = CallAllotment(
+                self.allot_terms, duties, Grantee(self.allot_terms), need=lambda: self.setting.terms.limit
             )
             process.peer.deal_by(allotting.share)
         delegate = self.delegates[process] = DutyDelegate(duties, allotting)
--- a/tests/test_duty.py
+++ b/tests/test_duty.py
@@ -517,7 +517,7 @@
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(st.dictionaries(st.sampled_from("abcdefg"), st.integers(0, 40), min_size=1), st.integers(0, 100))
 def test_the_cut_is_fair_and_spends_what_it_can(needs: dict[str, int], surplus: int) -> None:
-    given_ = allot.cut(needs, surplus)
+    given_ = allot.max_min_shares(needs, surplus)
     assert sum(given_.values()) == min(surplus, sum(needs.values()))
     assert all(0 <= given_[name] <= needs[name] for name in needs)
     # Nobody who wants more has less than one above another's, but for what can't be cut further.
@@ -530,47 +530,47 @@
 @settings(derandomize=True, deadline=None, max_examples=60)
 @given(st.integers(0, 10**9))
 def test_what_is_in_use_never_exceeds_the_surplus_over_any_change_of_holder(seed: int) -> None:
-    """Clocks drift, answers come late or never, holders change and die; takers fill what they may."""
+    """Clocks drift, answers come late or never, holders change and die; grantees fill what they may."""
     chance = random.Random(seed)
-    terms = allot.Terms(surplus=30, lasts=400, longest=300, drift=0.05)
+    terms = allot.Terms(surplus=30, grant_duration=400, max_call_duration=300, drift=0.05)
     names = [f"t{n}" for n in range(6)]
     rates = {name: 1 + chance.uniform(-0.05, 0.05) for name in names}
-    takers = {name: allot.Taker(terms) for name in names}
+    grantees = {name: allot.Grantee(terms) for name in names}
     needs = dict.fromkeys(names, 5)
     calls: list[tuple[int, str]] = []
     network: list[tuple[int, str, int, int]] = []
     rate = 1 + chance.uniform(-0.05, 0.05)
-    book = allot.Book(terms, 0)
-    most = 0
+    allocator = allot.CallAllocator(terms, 0)
+    max_in_use = 0
     for now in range(0, 12_000, 10):
         if chance.random() < 0.003:  # another holder, on another clock, that knows of nothing
             rate = 1 + chance.uniform(-0.05, 0.05)
-            book = allot.Book(terms, int(now * rate))
+            allocator = allot.CallAllocator(terms, int(now * rate))
         for name in names:
             own = int(now * rates[name])
             if chance.random() < 0.02:
                 needs[name] = chance.choice((0, 1, 5, 30))
             if chance.random() < 0.06:
                 network.append((now + chance.randrange(0, 200), name, needs[name], own))
-            mine = sum(taker == name for _, taker in calls)
-            while mine < min(needs[name], takers[name].share(own)):
+            mine = sum(owner == name for _, owner in calls)
+            while mine < min(needs[name], grantees[name].share(own)):
                 calls.append((now + chance.randrange(10, 285), name))
                 mine += 1
         due = [each for each in network if each[0] <= now]
         network = [each for each in network if each[0] > now]
         for _, name, need, asked_at in due:
-            granted = book.handle_request(name, need, int(now * rate))
+            granted = allocator.handle_request(name, need, int(now * rate))
             if chance.random() < 0.8:
-                takers[name].granted(granted, asked_at)
+                grantees[name].record_grant(granted, asked_at)
         calls = [each for each in calls if each[0] > now]
-        most = max(most, len(calls))
+        max_in_use = max(max_in_use, len(calls))
         assert len(calls) <= terms.surplus
-    assert most > terms.surplus // 2, "the surplus was not come near: nothing is shown"
+    assert max_in_use > terms.surplus // 2, "the surplus was not come near: nothing is shown"
 
 
 def test_uneven_needs_are_served_where_even_parts_leave_calls_unused() -> None:
     needs = {f"n{number}": 18 if number < 4 else 1 for number in range(20)}
     surplus = 80
     even = sum(min(need, surplus // 20) for need in needs.values())
-    by_need = sum(allot.cut(needs, surplus).values())
+    by_need = sum(allot.max_min_shares(needs, surplus).values())
     assert (even, by_need) == (32, 80)
