--- a/limeridge/duty/allot.py
+++ b/limeridge/duty/allot.py
@@ -31,27 +31,28 @@
 
 @dataclass(slots=True, frozen=True)
 class Terms:
-    """The same at all instances. Times in microseconds."""
+    """Parameters of the distribution; the same at all instances. Times in microseconds."""
 
-    surplus: int  # calls in hand at one time, above all floors
+    surplus: int  # concurrent calls above the sum of all floors
     grant_duration: int = 1_500_000
-    max_call_duration: int = 2_000_000  # that a call may be at the records service
-    drift: float = 0.001  # of each clock
+    max_call_duration: int = 2_000_000  # of a call to the records service
+    drift: float = 0.001  # maximum, of each clock
 
     @property
     def outstanding_duration(self) -> int:
-        """As long as the holder counts it, a grant and the calls begun under it are surely over."""
+        """How long the holder counts a grant, by its clock: the grant and all calls begun under it have ended
+        by then."""
         return int((self.grant_duration + self.max_call_duration) * (1 + self.drift) / (1 - self.drift)) + 1
 
     @property
     def initial_wait(self) -> int:
-        """Of a new holder, before it deals: as long as a grant of the one before may be out."""
+        """How long a new holder makes no grants: as long as one of its predecessor's may be outstanding."""
         return self.outstanding_duration
 
 
 def max_min_shares(needs: Mapping[str, int], surplus: int) -> dict[str, int]:
-    """Whole calls by grantee, `surplus` at most in all; what is left over by whole calls goes to those whose
-    names score highest, the same at each cut."""
+    """Max-min fair shares in whole calls, `surplus` in total at most. A remainder that cannot be split evenly
+    goes to the names with the highest scores, which are the same on each call."""
     left, shares = surplus, dict.fromkeys(needs, 0)
     unsatisfied = sorted((name for name in needs if needs[name] > 0), key=lambda name: (needs[name], name))
     while unsatisfied and left:
@@ -75,7 +76,7 @@
 
 @dataclass(slots=True)
 class OutstandingGrant:
-    """What one holder may have in hand of the surplus, and until when at the latest."""
+    """Calls that one grantee may be using, and the latest time until which it may."""
 
     calls: int
     until: int  # on the holder's clock
@@ -83,15 +84,15 @@
 
 @dataclass(slots=True)
 class CallAllocator:
-    """The holder's. `begun`: when it got the duty, on its own clock."""
+    """The holder's grants. `started_at`: when it obtained the duty, by its own clock."""
 
     terms: Terms
     started_at: int
-    needs: dict[str, tuple[int, int]] = field(default_factory=dict)  # by grantee: need, and when it need so
+    needs: dict[str, tuple[int, int]] = field(default_factory=dict)  # by grantee: need, time of its report
     outstanding: dict[str, list[OutstandingGrant]] = field(default_factory=dict)
 
     def total_outstanding(self, now: int) -> int:
-        """Calls that may be in use by what was dealt: of each grantee its largest grant that is not over."""
+        """Calls that may be in use: the sum of each grantee's largest grant that has not expired."""
         self._drop_expired(now)
         return sum(max((each.calls for each in grants), default=0) for grants in self.outstanding.values())
 
@@ -105,7 +106,7 @@
                 del self.needs[grantee]
 
     def handle_request(self, grantee: str, need: int, now: int) -> int:
-        """Calls granted to `grantee` from now on, in place of what it had; it may be told 0."""
+        """Returns the calls granted to `grantee`, which replace its previous grant; may be 0."""
         self.needs[grantee] = max(0, need), now
         if now < self.started_at + self.terms.initial_wait:
             return 0
@@ -117,7 +118,7 @@
         free = self.terms.surplus - self.total_outstanding(now) + previous
         calls = max(0, min(fair, free))
         if calls:
-            # A grant that is covered by this one, in calls and in time, need not be remembered beside it.
+            # Earlier grants of no more calls expire sooner, so the new one covers them.
             larger = [each for each in self.outstanding.get(grantee, ()) if each.calls > calls]
             self.outstanding[grantee] = [
                 *larger,
@@ -128,20 +129,20 @@
 
 @dataclass(slots=True)
 class Grantee:
-    """What one instance may use of what it was granted last."""
+    """The last grant of one instance, and what it may use of it."""
 
     terms: Terms
     calls: int = 0
     requested_at: int = -1
 
     def record_grant(self, calls: int, sent_at: int) -> None:
-        """`sent_at`: our own time before the asking was sent. An answer to an older asking changes
-        nothing."""
+        """Records a grant. `sent_at`: local time before the request was sent. Ignores answers to requests
+        older than the last one answered."""
         if sent_at > self.requested_at:
             self.calls, self.requested_at = max(0, calls), sent_at
 
     def share(self, now: int) -> int:
-        """Calls in hand above the floor, to be asked for before each call."""
+        """Concurrent calls allowed above the floor at `now`; to be checked before each call."""
         fresh = (
             self.requested_at >= 0
             and self.requested_at <= now < self.requested_at + self.terms.grant_duration
--- a/limeridge/duty/delegate.py
+++ b/limeridge/duty/delegate.py
@@ -1,6 +1,6 @@
-"""Duties as a delegate of membership: bodies to bytes and back, events into lines of the log.
+"""Connects duties to membership as one of its delegates: encodes and decodes messages, forwards log events.
 
-It owns nothing of its own. It must never judge.
+Owns no state of duties and takes no decisions.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class DutyDelegate:
-    """Duties, and dealing by need where it is on, as a part that members carry."""
+    """Delegate for duties and, if configured, for the distribution of calls by need."""
 
     kind = "duty"
 
@@ -21,24 +21,25 @@
         self.duties, self.allotment = duties, allotment
         self.out: list[tuple[str, bytes]] = []
         self.events: list[Event] = []
-        self.undecodable = 0  # bodies that could not be read
+        self.undecodable = 0  # messages that could not be decoded
 
     def next_at(self, now: int) -> int:
-        """When it is to be woken next, microseconds."""
+        """When `wake` must be called next, in microseconds."""
         times = [self.duties.next_at(now)]
         if self.allotment is not None and not self.duties.leaving:
             times.append(max(now + 1, self.allotment.next_request_at))
         return min(times)
 
     def wake(self, present: tuple[str, ...], unix: int, now: int) -> None:
-        """Called at `next_at` or soon after; `present` are names, `unix` is Unix time in microseconds."""
+        """Does all work that is due; called at `next_at` or soon after. `present`: names of present members;
+        `unix`: Unix time in microseconds."""
         self.duties.wake(present, unix, now)
         if self.allotment is not None:
             self.allotment.wake(now)
         self._collect_output()
 
     def heard(self, sender: Claim, body: bytes, unix: int, now: int) -> None:
-        """Takes what the same part of another member sent; what cannot be read is counted."""
+        """Handles a message from another member's delegate; messages that cannot be decoded are counted."""
         message = messages.decode(body)
         if message is None:
             self.undecodable += 1
@@ -60,12 +61,13 @@
             self.allotment.handle_grant(message.seq, message.calls, message.to)
 
     def leave(self, now: int) -> None:
-        """Gives back all duties that are held here."""
+        """Releases all duties that are held here."""
         self.duties.leave(now)
         self._collect_output()
 
     def release(self, duty: str, successor: str, now: int) -> str:
-        """Gives a duty back by hand, to `successor` where one is named; what was wrong, or empty."""
+        """Releases a duty on an operator's request, to `successor` if one is named. Returns an error message;
+        empty on success."""
         error = self.duties.release(duty, successor, now)
         self._collect_output()
         return error
--- a/limeridge/duty/messages.py
+++ b/limeridge/duty/messages.py
@@ -1,6 +1,6 @@
-"""What is said about duties, between members: bodies of `peers.messages.Word`.
+"""Messages about duties between members, sent as bodies of `peers.messages.Word`.
 
-It owns the types and their encoding. It must never judge.
+Owns the types and their encoding, and takes no decisions.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 
 
 class LeaseRequest(Struct, frozen=True, array_like=True, tag="a"):
-    """May I have, or go on with, this duty under this token? `seq` comes back with the answer."""
+    """To voters: requests or renews the lease on a duty under `token`. `seq` is repeated in the answer."""
 
     duty: str
     token: Token
     seq: int
-    version: int  # of the set of voters
+    version: int  # of the sender's voter set
 
 
 class LeaseAnswer(Struct, frozen=True, array_like=True, tag="y"):
-    """A voter's answer to asking `seq` under `token`; `why` is empty where it granted, else a reason code."""
+    """A voter's answer to request `seq` under `token`; `why` is empty if it granted, else a reason code."""
 
     duty: str
     token: Token
@@ -36,7 +36,8 @@
 
 
 class LeaseRelease(Struct, frozen=True, array_like=True, tag="b"):
-    """To voters: I hold it no more; for `keep` microseconds only the successor may have it."""
+    """To voters: releases the token. For `keep` microseconds only the successor, if any, may be granted the
+    duty."""
 
     duty: str
     token: Token
@@ -45,30 +46,30 @@
 
 
 class Handover(Struct, frozen=True, array_like=True, tag="t"):
-    """To a successor: I gave it back for you."""
+    """To a successor: the sender released the duty in its favour."""
 
     duty: str
     token: Token
 
 
 class HolderNotice(Struct, frozen=True, array_like=True, tag="h"):
-    """To all: I hold it for so many microseconds more at least, unless you hear that I gave it up (`left`
-    0)."""
+    """To all members: the sender holds the duty for at least `left` more microseconds, or has released it if
+    `left` is 0."""
 
     duty: str
     token: Token
     left: int
-    note: bytes = b""  # what the duty's own part has to say
+    note: bytes = b""  # state that the code performing the duty shares with the other members
 
 
 class RecoveryQuery(Struct, frozen=True, array_like=True, tag="r"):
-    """From a voter that has started: what do you know?"""
+    """From a voter that has started: asks for the highest known tokens."""
 
     version: int
 
 
 class RecoveryReport(Struct, frozen=True, array_like=True, tag="k"):
-    """The highest token of each duty that a voter knows of, and whether it remembers all that it granted."""
+    """The highest token of each duty that a voter knows of, and whether it knows all that it granted."""
 
     version: int
     remembers: bool
@@ -76,18 +77,18 @@
 
 
 class Need(Struct, frozen=True, array_like=True, tag="n"):
-    """To the holder of `ledger-allot`: calls that I could use above my floor."""
+    """To the holder of `ledger-allot`: calls that the sender could use above its floor."""
 
     seq: int
     calls: int
 
 
 class Grant(Struct, frozen=True, array_like=True, tag="g"):
-    """To one that said what it needs: calls, for as long as the terms say from when it asked."""
+    """Answer to `Need`: calls granted for the duration in the terms, from when the request was sent."""
 
     seq: int
     calls: int
-    to: str = ""  # the life that asked: two processes may have one name
+    to: str = ""  # key of the requesting process: two processes may have the same name
 
 
 Body = (
@@ -106,12 +107,12 @@
 
 
 def encode(body: Body) -> bytes:
-    """The bytes of a body, as `decode` reads them."""
+    """Encodes a message for `decode`."""
     return _encoder.encode(body)
 
 
 def decode(data: bytes) -> Body | None:
-    """None for what is no such body."""
+    """Decodes a message; None if `data` is not a valid one."""
     try:
         body: Body = _decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
