--- a/limeridge/duty/probe.py
+++ b/limeridge/duty/probe.py
@@ -1,16 +1,17 @@
-"""`ledger-probe`: while the records service is down one instance tries it for all, and calls come back by
-steps.
-
-It owns one instance's outlook on the records service, what it may call, and what the holder tells the
-others. It must never make a call, hold the duty itself or look at a clock: it is told how calls went and who
-holds the duty.
-
-Up: calls go as the share allows. Down, after `trip` failures in a row with no good call between: the holder
-makes one try each `gap`, longer with each that failed; all others wait for its word. Where no holder is known
-each has a budget of its own, a try at a time drawn evenly up to a bound that doubles, so that a service that
-comes back is found while nobody can talk. Rising, after `firm` good tries: an eighth of the share, then a
-quarter, a half, all, a step each `step`; failures as many as trip it bring it back down at once, for all by
-the holder's word and for each by its own calls.
+"""`ledger-probe`: while the records service is down, one instance probes it for all, and calls then
+resume in steps.
+
+Owns one instance's circuit breaker for the records service, and the state that the duty's holder shares with
+the other instances. It never makes a call, holds the duty or reads a clock: callers report the results of
+calls and who holds the duty.
+
+UP: calls are limited only by the share. DOWN, after `failure_threshold` consecutive failures: the holder
+makes one probe per `probe_interval`, which grows with each failed probe; all others wait for its note. An
+instance that knows no holder probes by itself, at a uniformly drawn time up to a bound that doubles, so that
+a recovered service is found even if instances cannot communicate. RAMPING, after `success_threshold`
+successful probes: an eighth of the share, then a quarter, a half and all, one step per `ramp_step`;
+`failure_threshold` failures bring it back to DOWN at once, for all instances by the holder's note and for
+each by its own calls.
 """
 
 from __future__ import annotations
@@ -21,127 +22,128 @@
 
 
 class State(Enum):
-    """The text is what the holder tells."""
+    """State of a circuit breaker; the values are sent in the holder's notes."""
 
     UP = "u"
-    RISING = "r"
+    RAMPING = "r"
     DOWN = "d"
 
 
 @dataclass(slots=True, frozen=True)
-class Pace:
-    """Times in microseconds."""
+class BreakerSettings:
+    """Thresholds and times of a circuit breaker; times in microseconds."""
 
-    trip: int = 5  # failures in a row
-    gap: int = 200_000  # between two tries of the holder, the first
-    gap_most: int = 1_000_000
-    alone: int = 1_000_000  # bound of the first wait of one who knows no holder
-    alone_most: int = 30_000_000
-    firm: int = 2  # good tries
-    step: int = 500_000
-    steps: int = 4  # parts of the share: 1/8, 1/4, 1/2, 1
-    word: int = 3_000_000  # that the holder's word counts
+    failure_threshold: int = 5  # consecutive failures
+    probe_interval: int = 200_000  # initial interval between the holder's probes
+    max_probe_interval: int = 1_000_000
+    solo_backoff: int = 1_000_000  # first back-off bound of an instance that knows no holder
+    max_solo_backoff: int = 30_000_000
+    success_threshold: int = 2  # consecutive successful probes
+    ramp_step: int = 500_000
+    ramp_steps: int = 4  # fractions of the share: 1/8, 1/4, 1/2, 1
+    note_lifetime: int = 3_000_000  # of a note from the holder
 
 
 @dataclass(slots=True)
-class Outlook:
-    """One instance's."""
+class CircuitBreaker:
+    """One instance's circuit breaker for the records service."""
 
-    pace: Pace
+    settings: BreakerSettings
     rng: random.Random
     state: State = State.UP
-    step: int = 0  # of a rise
-    since: int = 0
-    failures: int = 0  # in a row
-    good: int = 0  # tries in a row, while down
-    tries: int = 0  # that failed since it went down
-    next_try: int = 0
-    heard_at: int = -1  # the holder's last word
-    turned_away: int = 0
-
-    # ---- what may go out
-
-    def may(self, holds: bool, holder_known: bool, in_hand: int, share: int, now: int) -> bool:
-        """Before each call. `holds`: the duty is ours; `holder_known`: somebody else's; `share`: calls in
-        hand that we may have when all is well."""
-        self._pass(now)
+    ramp_position: int = 0  # step of the ramp, from 0
+    state_since: int = 0
+    failures: int = 0  # consecutive
+    successes: int = 0  # consecutive successful probes while DOWN
+    failed_probes: int = 0  # since it went DOWN
+    next_probe_at: int = 0
+    note_received_at: int = -1  # time of the holder's last note; -1 before the first
+    rejected: int = 0
+
+    # ---- admission of calls
+
+    def allows_call(self, holds: bool, holder_known: bool, in_progress: int, share: int, now: int) -> bool:
+        """Whether a call may be made now; to be checked before each call. `holds`: this instance holds the
+        duty; `holder_known`: another instance holds it; `in_progress`: current calls; `share`: concurrent
+        calls allowed in state UP."""
+        self._advance_ramp(now)
         if self.state is State.UP:
             return True
-        if self.state is State.RISING:
-            allowed = max(1, share >> (self.pace.steps - 1 - self.step))
-            if in_hand < allowed:
+        if self.state is State.RAMPING:
+            allowed = max(1, share >> (self.settings.ramp_steps - 1 - self.ramp_position))
+            if in_progress < allowed:
                 return True
-            self.turned_away += 1
+            self.rejected += 1
             return False
-        if holds:  # what we waited for while we were alone is not what a holder waits for
-            self.next_try = min(self.next_try, now + self.pace.gap_most)
-        if (holds or not holder_known) and now >= self.next_try and not in_hand:
-            self.next_try = now + self._wait(holds)
+        if holds:  # a back-off that started without a known holder does not apply to the holder
+            self.next_probe_at = min(self.next_probe_at, now + self.settings.max_probe_interval)
+        if (holds or not holder_known) and now >= self.next_probe_at and not in_progress:
+            self.next_probe_at = now + self._probe_delay(holds)
             return True
-        self.turned_away += 1
+        self.rejected += 1
         return False
 
-    def _wait(self, holds: bool) -> int:
-        pace = self.pace
+    def _probe_delay(self, holds: bool) -> int:
+        settings = self.settings
         if holds:
-            return min(pace.gap_most, pace.gap << min(self.tries, 10))
-        bound = min(pace.alone_most, pace.alone << min(self.tries, 10))
+            return min(settings.max_probe_interval, settings.probe_interval << min(self.failed_probes, 10))
+        bound = min(settings.max_solo_backoff, settings.solo_backoff << min(self.failed_probes, 10))
         return max(1, int(self.rng.uniform(0, bound)))
 
-    def _pass(self, now: int) -> None:
-        while self.state is State.RISING and now >= self.since + self.pace.step:
-            self.step += 1
-            self.since += self.pace.step
-            if self.step >= self.pace.steps - 1:
-                self._go(State.UP, now)
+    def _advance_ramp(self, now: int) -> None:
+        while self.state is State.RAMPING and now >= self.state_since + self.settings.ramp_step:
+            self.ramp_position += 1
+            self.state_since += self.settings.ramp_step
+            if self.ramp_position >= self.settings.ramp_steps - 1:
+                self._transition(State.UP, now)
 
-    def _go(self, state: State, now: int, step: int = 0) -> None:
-        self.state, self.since, self.step = state, now, step
-        self.failures = self.good = self.tries = 0
+    def _transition(self, state: State, now: int, step: int = 0) -> None:
+        self.state, self.state_since, self.ramp_position = state, now, step
+        self.failures = self.successes = self.failed_probes = 0
         if state is State.DOWN:
-            self.next_try = now + self._wait(holds=False)
+            self.next_probe_at = now + self._probe_delay(holds=False)
 
-    # ---- how calls went
+    # ---- results of calls
 
-    def went(self, well: bool, holds: bool, now: int) -> None:
-        """`well`: the records service answered, whatever the answer; not: it refused, was not reached or kept
-        silent."""
-        if well:
+    def record_result(self, succeeded: bool, holds: bool, now: int) -> None:
+        """Records the result of a call. `succeeded`: the records service answered, whatever the answer;
+        False: it refused the connection, was unreachable or did not answer."""
+        if succeeded:
             self.failures = 0
             if self.state is State.DOWN:
-                self.good += 1
-                self.next_try = min(self.next_try, now + self.pace.gap)
-                if self.good >= self.pace.firm:
-                    self._go(State.RISING, now)
+                self.successes += 1
+                self.next_probe_at = min(self.next_probe_at, now + self.settings.probe_interval)
+                if self.successes >= self.settings.success_threshold:
+                    self._transition(State.RAMPING, now)
             return
         self.failures += 1
-        self.good = 0
+        self.successes = 0
         if self.state is State.DOWN:
-            self.tries += 1
-            self.next_try = max(self.next_try, now + self._wait(holds))
-        elif self.failures >= self.pace.trip:
-            self._go(State.DOWN, now)
+            self.failed_probes += 1
+            self.next_probe_at = max(self.next_probe_at, now + self._probe_delay(holds))
+        elif self.failures >= self.settings.failure_threshold:
+            self._transition(State.DOWN, now)
 
-    # ---- word between instances
+    # ---- notes between instances
 
-    def note(self) -> bytes:
-        """What the holder tells with each word of its holding."""
-        return f"{self.state.value}{self.step}".encode()
+    def encode_note(self) -> bytes:
+        """Encodes the state for the holder's notices."""
+        return f"{self.state.value}{self.ramp_position}".encode()
 
-    def heard(self, note: bytes, now: int) -> None:
-        """The holder's word. It lifts and it lowers: a rise begins for all with it, at its step, and a fall
-        too where our own calls don't say better."""
+    def apply_note(self, note: bytes, now: int) -> None:
+        """Adopts the holder's state. Its recovery starts the ramp here, at the same step; its failure takes
+        this instance DOWN, unless it is UP and its own last call did not fail."""
         text = note.decode("ascii", "replace")
         states = {state.value: state for state in State}
         if len(text) != 2 or text[0] not in states or not text[1].isdecimal():
             return
-        self._pass(now)
-        self.heard_at = now
-        told, step = states[text[0]], min(int(text[1]), self.pace.steps - 1)
-        if self.state is State.DOWN and told is not State.DOWN:
-            # Never further up than a rise begins: the holder's may be long past.
-            self._go(State.RISING, now, step if told is State.RISING else 0)
-        elif told is State.DOWN and (
-            self.state is State.RISING or (self.state is State.UP and self.failures)
+        self._advance_ramp(now)
+        self.note_received_at = now
+        reported, step = states[text[0]], min(int(text[1]), self.settings.ramp_steps - 1)
+        if self.state is State.DOWN and reported is not State.DOWN:
+            # A holder that is already UP may have finished its ramp long ago, so start at the first step.
+            self._transition(State.RAMPING, now, step if reported is State.RAMPING else 0)
+        elif reported is State.DOWN and (
+            self.state is State.RAMPING or (self.state is State.UP and self.failures)
         ):
-            self._go(State.DOWN, now)
+            self._transition(State.DOWN, now)
--- a/limeridge/sim/outage.py
+++ b/limeridge/sim/outage.py
@@ -16,7 +16,7 @@
 from limeridge.duty.delegate import DutyDelegate
 from limeridge.duty.electorate import Electorate
 from limeridge.duty.member import Duties, DutySpec
-from limeridge.duty.probe import Outlook, Pace, State
+from limeridge.duty.probe import BreakerSettings, CircuitBreaker, State
 from limeridge.peers.shares import Terms as Shares
 from limeridge.sim.gossip import MS, QUICK, SECOND, Fleet, Process, Setting
 
@@ -50,7 +50,7 @@
     def start(self, number: int, host: str = "") -> Process:
         process = super().start(number, host)
         chance = random.Random(f"outage {self.setting.seed} {number}")
-        outlook, own = Outlook(Pace(), chance), process.peer.own
+        outlook, own = CircuitBreaker(BreakerSettings(), chance), process.peer.own
         voters = tuple(f"n{each}" for each in range(min(5, self.setting.members)))
         declared = {DUTY: DutySpec(DUTY, Terms(1_500 * MS), meanwhile="each tries by itself, seldom")}
         duties = Duties(
@@ -72,31 +72,31 @@
     def is_down(self) -> bool:
         return DOWN[0] <= self.now < DOWN[1]
 
-    def call(self, process: Process, duties: Duties, outlook: Outlook, chance: random.Random) -> None:
+    def call(self, process: Process, duties: Duties, outlook: CircuitBreaker, chance: random.Random) -> None:
         now = process.clock()
         holder = duties.holder(DUTY, now)
         word = duties.holder_reports.get(DUTY)
         if word is not None and now < word.until and word.note:
-            outlook.heard(word.note, now)
+            outlook.apply_note(word.note, now)
         holds = duties.fencing_token(DUTY, now) is not None
         if holds:
             before = duties.notes.get(DUTY)
-            duties.notes[DUTY] = outlook.note()
-            if before != outlook.note():
+            duties.notes[DUTY] = outlook.encode_note()
+            if before != outlook.encode_note():
                 duties.candidates[DUTY].renewed_at = 0  # a change is told at once
                 process.peer.delegates.wake_at["duty"] = now
         # Without the duty each tries as its callers ask: that is how it is today.
-        if not self.duty or outlook.may(holds, bool(holder) and not holds, 0, SHARE, now):
+        if not self.duty or outlook.allows_call(holds, bool(holder) and not holds, 0, SHARE, now):
             self.tries[self.now // SECOND] += 1
             well = not self.is_down()
             self.after(TOOK if well else 1_000, partial(self.went, process, outlook, holds, well))
         wait = EVERY // 4 if outlook.state is State.DOWN and holds else int(chance.uniform(0.5, 1.5) * EVERY)
         self.after(wait, partial(self.call, process, duties, outlook, chance))
 
-    def went(self, process: Process, outlook: Outlook, holds: bool, well: bool) -> None:
+    def went(self, process: Process, outlook: CircuitBreaker, holds: bool, well: bool) -> None:
         if well:
             self.good.append(self.now)
-        outlook.went(well, holds, process.clock())
+        outlook.record_result(well, holds, process.clock())
 
 
 def play(members: int, duty: bool, seed: int = 1) -> Came:
--- a/tests/test_duty.py
+++ b/tests/test_duty.py
@@ -17,7 +17,7 @@
 from limeridge.duty.candidacy import Candidate, CandidateTiming
 from limeridge.duty.electorate import Electorate, VersionTracker
 from limeridge.duty.member import Duties, DutySpec
-from limeridge.duty.probe import Outlook, Pace, State
+from limeridge.duty.probe import BreakerSettings, CircuitBreaker, State
 from limeridge.duty.tenure import Tenure
 from limeridge.sim import duties as sim_duties
 from limeridge.sim import outage
@@ -450,56 +450,71 @@
 
 
 def test_a_ledger_that_is_down_is_tried_by_the_holder_and_comes_back_by_steps() -> None:
-    pace = Pace(trip=3, gap=100, gap_most=400, alone=1_000, firm=2, step=50, steps=4)
-    holder, other = Outlook(pace, random.Random(1)), Outlook(pace, random.Random(2))
-    for outlook in (holder, other):
+    breaker_settings = BreakerSettings(
+        failure_threshold=3,
+        probe_interval=100,
+        max_probe_interval=400,
+        solo_backoff=1_000,
+        success_threshold=2,
+        ramp_step=50,
+        ramp_steps=4,
+    )
+    holder, other = (
+        CircuitBreaker(breaker_settings, random.Random(1)),
+        CircuitBreaker(breaker_settings, random.Random(2)),
+    )
+    for breaker in (holder, other):
         for now in range(3):
-            assert outlook.may(False, True, 3, 8, now)
-            outlook.went(False, False, now)
-        assert outlook.state is State.DOWN
-    assert not other.may(False, True, 0, 8, 10**9), "others wait for word, however long"
+            assert breaker.allows_call(False, True, 3, 8, now)
+            breaker.record_result(False, False, now)
+        assert breaker.state is State.DOWN
+    assert not other.allows_call(False, True, 0, 8, 10**9), "others wait for word, however long"
     times = []
     for now in range(3, 3_000):
-        if holder.may(True, False, 0, 8, now):
+        if holder.allows_call(True, False, 0, 8, now):
             times.append(now)
-            holder.went(False, True, now)
+            holder.record_result(False, True, now)
     gaps = [b - a for a, b in pairwise(times)]
     assert gaps[0] >= 100 and max(gaps) == 400 and gaps == sorted(gaps)
-    assert not holder.may(True, False, 1, 8, 10_000), "one try at a time"
+    assert not holder.allows_call(True, False, 1, 8, 10_000), "one try at a time"
     for now in (10_000, 10_100):
-        assert holder.may(True, False, 0, 8, now)
-        holder.went(True, True, now)
-    assert holder.state is State.RISING
-    other.heard(holder.note(), 10_110)
+        assert holder.allows_call(True, False, 0, 8, now)
+        holder.record_result(True, True, now)
+    assert holder.state is State.RAMPING
+    other.apply_note(holder.encode_note(), 10_110)
     allowed = [
-        next(n for n in range(9) if not other.may(False, True, n, 8, now) or n == 8)
+        next(n for n in range(9) if not other.allows_call(False, True, n, 8, now) or n == 8)
         for now in (10_111, 10_161, 10_211, 10_261)
     ]
     assert allowed == [1, 2, 4, 8] and other.state is State.UP
     # Down again during a rise: at once, by its own calls and by word.
-    holder._go(State.RISING, 20_000)
+    holder._transition(State.RAMPING, 20_000)
     for _ in range(3):
-        holder.went(False, True, 20_001)
+        holder.record_result(False, True, 20_001)
     assert holder.state is State.DOWN
-    other._go(State.RISING, 20_000)
-    other.heard(holder.note(), 20_002)
+    other._transition(State.RAMPING, 20_000)
+    other.apply_note(holder.encode_note(), 20_002)
     assert other.state is State.DOWN
     for noise in (b"", b"r", b"x1", b"r9", b"\xff\xff"):
-        other.heard(noise, 20_003)
+        other.apply_note(noise, 20_003)
 
 
 def test_who_knows_no_holder_tries_by_itself_ever_more_seldom() -> None:
-    outlook = Outlook(Pace(trip=1, alone=100, alone_most=3_200), random.Random(5))
-    outlook.went(False, False, 0)
+    breaker = CircuitBreaker(
+        BreakerSettings(failure_threshold=1, solo_backoff=100, max_solo_backoff=3_200), random.Random(5)
+    )
+    breaker.record_result(False, False, 0)
     times = []
     for now in range(60_000):
-        if outlook.may(False, False, 0, 4, now):
+        if breaker.allows_call(False, False, 0, 4, now):
             times.append(now)
-            outlook.went(False, False, now)
+            breaker.record_result(False, False, now)
     assert 15 < len(times) < 120 and max(b - a for a, b in pairwise(times)) <= 3_200
     # One that becomes the holder does not sit out what it waited for while it was alone.
-    before = outlook.next_try
-    assert any(outlook.may(True, False, 0, 4, now) for now in range(60_000, 60_000 + 1_000_001, 1_000))
+    before = breaker.next_probe_at
+    assert any(
+        breaker.allows_call(True, False, 0, 4, now) for now in range(60_000, 60_000 + 1_000_001, 1_000)
+    )
     assert before
 
 
