--- a/limeridge/cli/duty.py
+++ b/limeridge/cli/duty.py
@@ -35,9 +35,9 @@
     scopes = {each.name: each for each in check.FULL}
     if kind == "scope":
         return job, check.search(scopes[name], seconds)
-    with check.planted(name) as where:
+    with check.with_mistake(name) as where:
         if where == check.SETS:
-            return job, check.sets_hold(3, "abcd")
+            return job, check.check_voter_sets(3, "abcd")
         return job, check.search(scopes[where], seconds)
 
 
@@ -58,7 +58,7 @@
     failed = False
     with multiprocessing.get_context("forkserver").Pool(jobs) as pool:
         # The sets of voters first: they are looked at without any messages.
-        cases, broken = searching.sets_hold(3 if quick else 4, "abcd" if quick else "abcde")
+        cases, broken = searching.check_voter_sets(3 if quick else 4, "abcd" if quick else "abcde")
         rows.append({"kind": "scope", "name": "sets", "states": cases, "exhausted": True, "broken": broken,
                      "depth": 0, "seconds": 0.0, "way": []})  # fmt: skip
         failed |= bool(broken)
--- a/limeridge/duty/check.py
+++ b/limeridge/duty/check.py
@@ -146,10 +146,10 @@
     tenures: tuple[TenureState, ...]
 
 
-Step = tuple[Any, State]  # how to say it, and the state after
+Transition = tuple[Any, State]  # how to say it, and the state after
 
 
-class Machine:
+class StateMachine:
     """The events of one scope."""
 
     def __init__(self, scope: Scope) -> None:
@@ -157,14 +157,14 @@
         self.terms = Terms(scope.lease, scope.drift, margin=0)
         self.electorate = Electorate(1, tuple(str(n) for n in range(scope.voters)))
         self.quorum = self.electorate.quorum
-        self.count = len(scope.unix)
-        self.all_told = (1 << scope.voters) - 1
+        self.candidate_count = len(scope.unix)
+        self.all_voters_mask = (1 << scope.voters) - 1
         # Turns: candidates' steps, voters, candidates' answers, then the tick.
-        self.last = 2 * self.count + scope.voters
+        self.tick_turn = 2 * self.candidate_count + scope.voters
 
-    def first(self) -> State:
+    def initial_state(self) -> State:
         """The state in which nothing has happened."""
-        scope, none = self.scope, (-1,) * self.count
+        scope, none = self.scope, (-1,) * self.candidate_count
         return State(
             0, scope.ticks, scope.renewals, scope.gives, scope.restarts, scope.doubled, scope.drifts,
             NO_TOKEN, (VoterState(granted=none),) * scope.voters,
@@ -173,56 +173,56 @@
 
     # ---- objects of the program, and back
 
-    def tenure(self, state: State, number: int) -> Tenure:
+    def restore_tenure(self, state: State, number: int) -> Tenure:
         """A candidate's tenure as the program has it, made anew at NOW from what the state keeps."""
-        kept = state.tenures[number]
-        tenure = Tenure(self.terms, NAMES[number], number + 1, self.quorum, kept.token)
-        tenure.released, tenure.highest_known = kept.given, kept.known
-        for place, voter in enumerate(state.voters):
+        saved = state.tenures[number]
+        tenure = Tenure(self.terms, NAMES[number], number + 1, self.quorum, saved.token)
+        tenure.released, tenure.highest_known = saved.given, saved.known
+        for index, voter in enumerate(state.voters):
             if voter.granted[number] >= 0:
-                tenure.granted_at[str(place)] = NOW + voter.granted[number] - self.terms.lease
+                tenure.granted_at[str(index)] = NOW + voter.granted[number] - self.terms.lease
         return tenure
 
-    def keep(self, state: State, number: int, tenure: Tenure, begun: int = 0) -> State:
+    def store_tenure(self, state: State, number: int, tenure: Tenure, begun: int = 0) -> State:
         """The state with what a tenure holds now; `begun` is how many askings anew it used up."""
         lease, voters = self.terms.lease, []
-        for place, voter in enumerate(state.voters):
-            at = tenure.granted_at.get(str(place))
+        for index, voter in enumerate(state.voters):
+            at = tenure.granted_at.get(str(index))
             left = -1 if at is None or at + lease <= NOW else at + lease - NOW
             if left != voter.granted[number]:
                 granted = (*voter.granted[:number], left, *voter.granted[number + 1 :])
                 voter = voter._replace(granted=granted)
             voters.append(voter)
-        kept = TenureState(
+        saved = TenureState(
             tenure.token, tenure.released, tenure.highest_known, state.tenures[number].begins - begun
         )
-        tenures = (*state.tenures[:number], kept, *state.tenures[number + 1 :])
+        tenures = (*state.tenures[:number], saved, *state.tenures[number + 1 :])
         return state._replace(voters=tuple(voters), tenures=tenures)
 
-    def voter(self, kept: VoterState, name: str) -> Voter:
+    def restore_voter(self, saved: VoterState, name: str) -> Voter:
         """A voter as the program has it, made anew at NOW from what the state keeps."""
         terms = {DUTY: self.terms}
-        if kept.told < 0:
+        if saved.told < 0:
             voter = Voter(name, terms, self.quorum, -NOW)
             voter.told = {f"{n} then": True for n in range(self.quorum)}
         else:
             # Born so long ago that as much of its silence, or of its patience, is left.
             longest = Voter(name, terms, self.quorum, 0).max_promise_duration
             patience = int(RECOVERY_TIMEOUT_FACTOR * longest)
-            born = NOW - longest + kept.silent if kept.silent else NOW - patience + kept.patience
+            born = NOW - longest + saved.silent if saved.silent else NOW - patience + saved.patience
             voter = Voter(name, terms, self.quorum, born)
-            voter.told = {str(n): True for n in range(self.scope.voters) if kept.told >> n & 1}
-        voter.promises[DUTY] = Promise(self.terms, kept.token, NOW + kept.left, kept.highest, kept.over)
+            voter.told = {str(n): True for n in range(self.scope.voters) if saved.told >> n & 1}
+        voter.promises[DUTY] = Promise(self.terms, saved.token, NOW + saved.left, saved.highest, saved.over)
         return voter
 
     # ---- what must hold
 
-    def broken(self, state: State) -> str:
+    def violation(self, state: State) -> str:
         """Which rule the state breaks, in words; empty where it breaks none."""
         holders = [
             number
-            for number, kept in enumerate(state.tenures)
-            if kept.token != NO_TOKEN and not kept.given and self.tenure(state, number).holds(NOW)
+            for number, saved in enumerate(state.tenures)
+            if saved.token != NO_TOKEN and not saved.given and self.restore_tenure(state, number).holds(NOW)
         ]
         if len(holders) > 1:
             return "two hold it: " + " and ".join(
@@ -233,43 +233,43 @@
             return f"{NAMES[holders[0]]} holds under {number}, {state.held.number} held before"
         return ""
 
-    def noted(self, state: State) -> State:
+    def record_held(self, state: State) -> State:
         """With the highest token that has held so far."""
         highest = state.held
-        for number, kept in enumerate(state.tenures):
-            if kept.token > highest and not kept.given and self.tenure(state, number).holds(NOW):
-                highest = kept.token
+        for number, saved in enumerate(state.tenures):
+            if saved.token > highest and not saved.given and self.restore_tenure(state, number).holds(NOW):
+                highest = saved.token
         return state if highest == state.held else state._replace(held=highest)
 
     # ---- events
 
-    def next(self, state: State) -> Iterator[Step]:
+    def transitions(self, state: State) -> Iterator[Transition]:
         """All events that may come next, each with the state that it leads to."""
-        turn, count = state.turn, self.count
-        if turn == self.last:
-            yield from self.tick(state)
+        turn, count = state.turn, self.candidate_count
+        if turn == self.tick_turn:
+            yield from self.tick_transitions(state)
             return
         if turn < count:
-            yield from self.steps(state, turn)
+            yield from self.candidate_transitions(state, turn)
         elif turn < count + self.scope.voters:
-            yield from self.at_voter(state, turn - count)
+            yield from self.voter_transitions(state, turn - count)
         else:
-            yield from self.answers(state, turn - count - self.scope.voters)
-        yield None, self.turned(state)
+            yield from self.late_answer_transitions(state, turn - count - self.scope.voters)
+        yield None, self.advance_turn(state)
 
-    def turned(self, state: State) -> State:
+    def advance_turn(self, state: State) -> State:
         """On to the next process that could do something, or to the tick."""
-        turn, count, voters = state.turn + 1, self.count, self.scope.voters
-        while turn < self.last:
+        turn, count, voters = state.turn + 1, self.candidate_count, self.scope.voters
+        while turn < self.tick_turn:
             if turn < count:
-                kept = state.tenures[turn]
-                if kept.begins or (
-                    (state.renewals or state.gives) and kept.token != NO_TOKEN and not kept.given
+                saved = state.tenures[turn]
+                if saved.begins or (
+                    (state.renewals or state.gives) and saved.token != NO_TOKEN and not saved.given
                 ):
                     break
             elif turn < count + voters:
                 voter = state.voters[turn - count]
-                if voter.asks or state.restarts or 0 <= voter.told < self.all_told:
+                if voter.asks or state.restarts or 0 <= voter.told < self.all_voters_mask:
                     break
             elif any(
                 each.candidate == turn - count - voters for voter in state.voters for each in voter.replies
@@ -278,33 +278,33 @@
             turn += 1
         return state._replace(turn=turn)
 
-    def steps(self, state: State, number: int) -> Iterator[Step]:
+    def candidate_transitions(self, state: State, number: int) -> Iterator[Transition]:
         """Of a candidate: asks, asks again, gives back."""
-        kept, tenure = state.tenures[number], self.tenure(state, number)
+        saved, tenure = state.tenures[number], self.restore_tenure(state, number)
         holds = tenure.holds(NOW)
-        if kept.begins and not holds:
+        if saved.begins and not holds:
             after = state
-            if kept.token != NO_TOKEN and not kept.given:
-                after = self.sent(after, Ask(number, tenure.release(), self.terms.promise_duration, True))
+            if saved.token != NO_TOKEN and not saved.given:
+                after = self.send(after, Ask(number, tenure.release(), self.terms.promise_duration, True))
             tenure.begin(self.scope.unix[number], NOW)
-            after = self.keep(after, number, tenure, begun=1)
-            after = self.sent(after, Ask(number, tenure.token, self.terms.lease))
+            after = self.store_tenure(after, number, tenure, begun=1)
+            after = self.send(after, Ask(number, tenure.token, self.terms.lease))
             yield ("asks", number, tenure.token), after
         if holds and state.renewals:
             after = state._replace(renewals=state.renewals - 1)
             yield (
                 ("asks again", number, tenure.token),
-                self.sent(after, Ask(number, tenure.token, self.terms.lease)),
+                self.send(after, Ask(number, tenure.token, self.terms.lease)),
             )
         if holds and state.gives:
             token = tenure.release()
-            after = self.keep(state._replace(gives=state.gives - 1), number, tenure)
+            after = self.store_tenure(state._replace(gives=state.gives - 1), number, tenure)
             yield (
                 ("gives back", number, token),
-                self.sent(after, Ask(number, token, self.terms.promise_duration, True)),
+                self.send(after, Ask(number, token, self.terms.promise_duration, True)),
             )
 
-    def sent(self, state: State, ask: Ask) -> State:
+    def send(self, state: State, ask: Ask) -> State:
         """The state with an asking on its way to every voter."""
         voters = tuple(
             voter if ask in voter.asks else voter._replace(asks=tuple(sorted((*voter.asks, ask))))
@@ -312,157 +312,172 @@
         )
         return state._replace(voters=voters)
 
-    def at_voter(self, state: State, place: int) -> Iterator[Step]:
+    def voter_transitions(self, state: State, index: int) -> Iterator[Transition]:
         """What a voter may do at its turn: take any asking that is on its way, start again, or hear what
         another one remembers."""
-        kept = state.voters[place]
-        yield from self.asked(state, place, kept)
+        saved = state.voters[index]
+        yield from self.request_transitions(state, index, saved)
         if state.restarts:
             longest = Voter("", {DUTY: self.terms}, self.quorum, 0).max_promise_duration
             new = VoterState(
-                silent=longest, patience=int(RECOVERY_TIMEOUT_FACTOR * longest), told=0, asks=kept.asks,
-                replies=kept.replies, granted=kept.granted,
+                silent=longest, patience=int(RECOVERY_TIMEOUT_FACTOR * longest), told=0, asks=saved.asks,
+                replies=saved.replies, granted=saved.granted,
             )  # fmt: skip
-            yield ("restarts", place), self.put(state._replace(restarts=state.restarts - 1), place, new)
-        if kept.told >= 0 and not kept.silent and bin(kept.told).count("1") < self.quorum:
-            yield from self.recalled(state, place, kept)
+            yield (
+                ("restarts", index),
+                self.replace_voter(state._replace(restarts=state.restarts - 1), index, new),
+            )
+        if saved.told >= 0 and not saved.silent and bin(saved.told).count("1") < self.quorum:
+            yield from self.recovery_transitions(state, index, saved)
 
-    def asked(self, state: State, place: int, kept: VoterState) -> Iterator[Step]:
+    def request_transitions(self, state: State, index: int, saved: VoterState) -> Iterator[Transition]:
         """Each asking that is on its way to a voter, with all that its answer may come to."""
-        waits = self.scope.recalls and kept.told >= 0 and bin(kept.told).count("1") < self.quorum
-        for ask in () if waits else kept.asks:
-            rest = tuple(each for each in kept.asks if each != ask)
-            voter = self.voter(kept, str(place))
+        waits = self.scope.recalls and saved.told >= 0 and bin(saved.told).count("1") < self.quorum
+        for ask in () if waits else saved.asks:
+            rest = tuple(each for each in saved.asks if each != ask)
+            voter = self.restore_voter(saved, str(index))
             if ask.gives:
                 voter.release(DUTY, ask.token, "", 0, NOW)
-                answer, told = None, "hears that it was given back"
+                answer, outcome = None, "hears that it was given back"
             else:
                 answer = voter.handle_request(DUTY, ask.token, NOW)
-                told = "is silent" if answer is None else answer.why or "grants"
-            replies, reply = kept.replies, None
+                outcome = "is silent" if answer is None else answer.why or "grants"
+            replies, reply = saved.replies, None
             if answer is not None:
                 reply = Reply(ask.candidate, answer.token, answer.why, answer.highest, ask.left)
                 if self.scope.late and reply not in replies:
                     replies = tuple(sorted((*replies, reply)))
             promise = voter.promise_for(DUTY)
             left = max(0, promise.until - NOW) if promise.is_active(NOW) else 0
-            new = kept._replace(
+            new = saved._replace(
                 token=promise.token if left else NO_TOKEN, left=left, highest=promise.highest,
                 over=promise.over, asks=rest, replies=replies,
             )  # fmt: skip
-            what = ("is asked", place, ask.candidate, ask.token, told)
-            yield what, self.put(state, place, new)
+            event = ("is asked", index, ask.candidate, ask.token, outcome)
+            yield event, self.replace_voter(state, index, new)
             if reply is not None and not self.scope.late:
-                heard = self.hears(self.put(state, place, new._replace(replies=())), place, reply)
-                yield (*what, "and told"), heard
+                heard = self.deliver_answer(
+                    self.replace_voter(state, index, new._replace(replies=())), index, reply
+                )
+                yield (*event, "and told"), heard
                 if state.doubled:
                     spent = heard._replace(doubled=heard.doubled - 1)
-                    yield (*what, "and told twice"), self.hears(spent, place, reply)
+                    yield (*event, "and told twice"), self.deliver_answer(spent, index, reply)
             if state.doubled:
                 spent = state._replace(doubled=state.doubled - 1)
-                yield (*what, "and once more"), self.put(spent, place, new._replace(asks=kept.asks))
+                yield (
+                    (*event, "and once more"),
+                    self.replace_voter(spent, index, new._replace(asks=saved.asks)),
+                )
 
-    def recalled(self, state: State, place: int, kept: VoterState) -> Iterator[Step]:
+    def recovery_transitions(self, state: State, index: int, saved: VoterState) -> Iterator[Transition]:
         """What a voter that forgot may hear from each that remembers."""
         for other, source in enumerate(state.voters):
             remembers = source.told < 0 or bin(source.told).count("1") >= self.quorum
-            if other != place and remembers and not kept.told >> other & 1:
-                voter = self.voter(kept, str(place))
+            if other != index and remembers and not saved.told >> other & 1:
+                voter = self.restore_voter(saved, str(index))
                 voter.observe_voter(str(other), True, {DUTY: source.highest}, NOW)
-                new = kept._replace(told=kept.told | 1 << other, highest=voter.promise_for(DUTY).highest)
-                yield ("hears what is known to", place, other), self.put(state, place, new)
+                new = saved._replace(told=saved.told | 1 << other, highest=voter.promise_for(DUTY).highest)
+                yield ("hears what is known to", index, other), self.replace_voter(state, index, new)
 
     @staticmethod
-    def put(state: State, place: int, voter: VoterState) -> State:
-        """The state with another voter at `place`."""
-        return state._replace(voters=(*state.voters[:place], voter, *state.voters[place + 1 :]))
+    def replace_voter(state: State, index: int, voter: VoterState) -> State:
+        """The state with another voter at `index`."""
+        return state._replace(voters=(*state.voters[:index], voter, *state.voters[index + 1 :]))
 
-    def answers(self, state: State, number: int) -> Iterator[Step]:
+    def late_answer_transitions(self, state: State, number: int) -> Iterator[Transition]:
         """The late answers that a candidate may hear at its turn."""
-        for place, kept in enumerate(state.voters):
-            for reply in kept.replies:
+        for index, saved in enumerate(state.voters):
+            for reply in saved.replies:
                 if reply.candidate != number:
                     continue
-                rest = tuple(each for each in kept.replies if each != reply)
-                what = ("hears of", number, place, reply.token, reply.why or "granted")
-                yield what, self.hears(self.put(state, place, kept._replace(replies=rest)), place, reply)
+                rest = tuple(each for each in saved.replies if each != reply)
+                event = ("hears of", number, index, reply.token, reply.why or "granted")
+                yield (
+                    event,
+                    self.deliver_answer(
+                        self.replace_voter(state, index, saved._replace(replies=rest)), index, reply
+                    ),
+                )
 
-    def hears(self, state: State, place: int, reply: Reply) -> State:
+    def deliver_answer(self, state: State, index: int, reply: Reply) -> State:
         """A candidate, of a voter's answer."""
-        tenure = self.tenure(state, reply.candidate)
+        tenure = self.restore_tenure(state, reply.candidate)
         answer = Answer(reply.token, reply.why, reply.highest)
-        ANSWERED(tenure, str(place), answer, NOW + reply.left - self.terms.lease)
-        return self.keep(state, reply.candidate, tenure)
+        ANSWER_HANDLER(tenure, str(index), answer, NOW + reply.left - self.terms.lease)
+        return self.store_tenure(state, reply.candidate, tenure)
 
-    def tick(self, state: State) -> Iterator[Step]:
+    def tick_transitions(self, state: State) -> Iterator[Transition]:
         """The passing of a tick, for all clocks alike or with one that drifts."""
         if not state.ticks:
             return
         state = state._replace(ticks=state.ticks - 1, turn=0)
-        yield ("tick",), self.passed(state, -1, 1)
+        yield ("tick",), self.advance_clocks(state, -1, 1)
         if state.drifts:
             drifted = state._replace(drifts=state.drifts - 1)
-            for who in range(self.scope.voters + self.count):
+            for who in range(self.scope.voters + self.candidate_count):
                 for by in (0, 2):
-                    yield ("tick", who, by), self.passed(drifted, who, by)
+                    yield ("tick", who, by), self.advance_clocks(drifted, who, by)
 
-    def passed(self, state: State, odd: int, by: int) -> State:
-        """A tick, of which the clock of process `odd` makes `by`."""
+    def advance_clocks(self, state: State, drifting: int, by: int) -> State:
+        """A tick, of which the clock of process `drifting` makes `by`."""
         count, voters = self.scope.voters, []
-        steps = [by if odd == count + number else 1 for number in range(self.count)]
-        for place, kept in enumerate(state.voters):
-            mine = by if odd == place else 1
-            left = max(0, kept.left - mine)
+        steps = [by if drifting == count + number else 1 for number in range(self.candidate_count)]
+        for index, saved in enumerate(state.voters):
+            elapsed = by if drifting == index else 1
+            left = max(0, saved.left - elapsed)
             voters.append(
-                kept._replace(
-                    token=kept.token if left else NO_TOKEN,
+                saved._replace(
+                    token=saved.token if left else NO_TOKEN,
                     left=left,
-                    silent=max(0, kept.silent - mine),
-                    patience=max(0, kept.patience - mine),
-                    asks=tuple(sorted(self.aged(kept.asks, steps, 0))),
-                    replies=tuple(sorted(self.aged(kept.replies, steps, -self.scope.late))),
+                    silent=max(0, saved.silent - elapsed),
+                    patience=max(0, saved.patience - elapsed),
+                    asks=tuple(sorted(self.age_messages(saved.asks, steps, 0))),
+                    replies=tuple(sorted(self.age_messages(saved.replies, steps, -self.scope.late))),
                     granted=tuple(
                         each - steps[number] if each > steps[number] else -1
-                        for number, each in enumerate(kept.granted)
+                        for number, each in enumerate(saved.granted)
                     ),
                 )
             )  # fmt: skip
         return state._replace(voters=tuple(voters))
 
     @staticmethod
-    def aged(messages: tuple[Any, ...], steps: list[int], least: int) -> set[Any]:
+    def age_messages(messages: tuple[Any, ...], steps: list[int], min_left: int) -> set[Any]:
         """Those that may still come. One whose asker's lease is over is dropped: what it may still do is to
         make a voter promise what nobody counts, which only keeps others from having it."""
         older = {each._replace(left=each.left - steps[each.candidate]) for each in messages}
-        return {each for each in older if each.left > least}
+        return {each for each in older if each.left > min_left}
 
-    def same(self, state: State) -> State:
+    def canonical(self, state: State) -> State:
         """One of those that differ in the order of voters alone: those whose turn is over, and those whose
         is still to come, each among themselves."""
-        at = min(max(0, state.turn - self.count), self.scope.voters)
+        at = min(max(0, state.turn - self.candidate_count), self.scope.voters)
         if any(voter.told > 0 for voter in state.voters):
             return state  # who told whom goes by places
         voters = state.voters
-        if state.turn < self.count or at == self.scope.voters:
+        if state.turn < self.candidate_count or at == self.scope.voters:
             ordered = tuple(sorted(voters))
         else:
             ordered = (*sorted(voters[:at]), voters[at], *sorted(voters[at + 1 :]))
         return state if ordered == voters else state._replace(voters=ordered)
 
-    def said(self, what: Any) -> str:
+    def describe(self, event: Any) -> str:
         """An event in words, for the way to a break."""
-        if what[0] == "tick":
-            return "a tick passes" + (f" ({self.clock(what[1])} goes {what[2]})" if len(what) > 1 else "")
-        if what[0] in ("asks", "asks again", "gives back"):
-            return f"{NAMES[what[1]]} {what[0]} under {what[2].number}"
-        if what[0] == "is asked":
-            more = f", {what[5]}" if len(what) > 5 else ""
-            return f"a voter hears {NAMES[what[2]]}'s asking under {what[3].number}: {what[4]}{more}"
-        if what[0] == "hears of":
-            return f"{NAMES[what[1]]} hears of a voter under {what[3].number}: {what[4]}"
-        return f"a voter {what[0]}" + (" another" if len(what) > 2 else "")
-
-    def clock(self, who: int) -> str:
+        if event[0] == "tick":
+            return "a tick passes" + (
+                f" ({self.clock_name(event[1])} goes {event[2]})" if len(event) > 1 else ""
+            )
+        if event[0] in ("asks", "asks again", "gives back"):
+            return f"{NAMES[event[1]]} {event[0]} under {event[2].number}"
+        if event[0] == "is asked":
+            more = f", {event[5]}" if len(event) > 5 else ""
+            return f"a voter hears {NAMES[event[2]]}'s asking under {event[3].number}: {event[4]}{more}"
+        if event[0] == "hears of":
+            return f"{NAMES[event[1]]} hears of a voter under {event[3].number}: {event[4]}"
+        return f"a voter {event[0]}" + (" another" if len(event) > 2 else "")
+
+    def clock_name(self, who: int) -> str:
         """Whose clock has that number, in words."""
         count = self.scope.voters
         return "a voter's clock" if who < count else f"{NAMES[who - count]}'s clock"
@@ -472,7 +487,7 @@
 
 
 @dataclass(slots=True)
-class Found:
+class SearchResult:
     """What the search of one scope came to; `way` is the shortest way to a break, empty where none is."""
 
     scope: str
@@ -484,33 +499,33 @@
     way: list[str] = field(default_factory=list)
 
 
-def search(scope: Scope, seconds: float = 1e9, most: int = 20_000_000) -> Found:
+def search(scope: Scope, seconds: float = 1e9, max_states: int = 20_000_000) -> SearchResult:
     """By the number of events, so that the first break has the fewest."""
-    machine = Machine(scope)
-    found, begun = Found(scope.name), time.monotonic()
-    start = machine.first()
+    machine = StateMachine(scope)
+    found, begun = SearchResult(scope.name), time.monotonic()
+    start = machine.initial_state()
     parents: dict[int, tuple[int, Any]] = {hash(start): (0, None)}
     level, following = deque([(start, hash(start))]), deque[tuple[State, int]]()
     while level:
         state, here = level.popleft()
-        for what, after in machine.next(state):
+        for event, after in machine.transitions(state):
             broken = ""
-            if what is not None:
-                broken = machine.broken(after)
-                after = machine.noted(after)
-            after = machine.same(after)
+            if event is not None:
+                broken = machine.violation(after)
+                after = machine.record_held(after)
+            after = machine.canonical(after)
             key = hash(after)
             if key not in parents:
-                parents[key] = here, what
+                parents[key] = here, event
                 # A turn that is passed on is no event: it belongs to the same level.
-                (following if what is not None else level).append((after, key))
+                (following if event is not None else level).append((after, key))
             if broken:
                 found.broken, found.exhausted = broken, False
-                found.way = [machine.said(each) for each in (*_way(parents, here), what)]
+                found.way = [machine.describe(each) for each in (*_way(parents, here), event)]
                 level.clear()
                 following.clear()
                 break
-        if len(parents) >= most or time.monotonic() - begun > seconds:
+        if len(parents) >= max_states or time.monotonic() - begun > seconds:
             found.exhausted = False
             break
         if not level:
@@ -523,18 +538,18 @@
 def _way(parents: dict[int, tuple[int, Any]], key: int) -> list[Any]:
     way: list[Any] = []
     while key:
-        key, what = parents[key]
-        if what is not None:
-            way.append(what)
+        key, event = parents[key]
+        if event is not None:
+            way.append(event)
     return way[::-1]
 
 
-def sets_hold(versions: int = 4, names: str = "abcde") -> tuple[int, str]:
+def check_voter_sets(versions: int = 4, names: str = "abcde") -> tuple[int, str]:
     """All ways in which the files of all voters may go on, from set to set by one name at a time: whether
     two sets that may both be voting have quorums without a shared voter. Gives the number of cases looked
     at, and the first break in words."""
     cases = 0
-    for sets in _chains(names, versions):
+    for sets in _version_chains(names, versions):
         electorates = [
             Electorate(number + 1, each, sets[number - 1] if number else ())
             for number, each in enumerate(sets)
@@ -545,16 +560,16 @@
         for at in _assignments(len(everybody), versions):
             cases += 1
             version = dict(zip(everybody, at, strict=True))
-            able = [_able(each, version) for each in electorates]
+            able = [_can_grant(each, version) for each in electorates]
             for one, other in ((a, b) for a in range(versions) for b in range(a)):
                 if able[one] and able[other]:
                     shown = ", ".join(f"{name} at {version[name]}" for name in everybody)
-                    told = f"sets {sets[other]} and {sets[one]} can both grant ({shown})"
-                    return cases, told
+                    description = f"sets {sets[other]} and {sets[one]} can both grant ({shown})"
+                    return cases, description
     return cases, ""
 
 
-def _able(electorate: Electorate, version: dict[str, int]) -> bool:
+def _can_grant(electorate: Electorate, version: dict[str, int]) -> bool:
     """Whether a quorum of this set votes under it now."""
     voting = 0
     for name in electorate.voters:
@@ -566,7 +581,7 @@
     return voting >= electorate.quorum
 
 
-def _chains(names: str, versions: int) -> Iterator[list[tuple[str, ...]]]:
+def _version_chains(names: str, versions: int) -> Iterator[list[tuple[str, ...]]]:
     def longer(chain: list[tuple[str, ...]]) -> Iterator[list[tuple[str, ...]]]:
         if len(chain) == versions:
             yield chain
@@ -591,46 +606,46 @@
 # ---- mistakes put in, one at a time
 
 
-def answered(tenure: Tenure, voter: str, answer: Answer, asked_at: int) -> None:
+def handle_answer(tenure: Tenure, voter: str, answer: Answer, sent_at: int) -> None:
     """Hands an answer to a tenure; a function of its own so that a mistake can be put in its place."""
-    tenure.handle_answer(voter, answer, asked_at)
+    tenure.handle_answer(voter, answer, sent_at)
 
 
-ANSWERED: Callable[[Tenure, str, Answer, int], None] = answered
+ANSWER_HANDLER: Callable[[Tenure, str, Answer, int], None] = handle_answer
 
 
-def _from_answer(tenure: Tenure, voter: str, answer: Answer, asked_at: int) -> None:
+def _handle_answer_from_receipt(tenure: Tenure, voter: str, answer: Answer, sent_at: int) -> None:
     tenure.handle_answer(voter, answer, NOW)
 
 
-def _any_token(tenure: Tenure, voter: str, answer: Answer, asked_at: int) -> None:
-    tenure.handle_answer(voter, Answer(tenure.token, answer.why, answer.highest), asked_at)
+def _handle_answer_to_any_token(tenure: Tenure, voter: str, answer: Answer, sent_at: int) -> None:
+    tenure.handle_answer(voter, Answer(tenure.token, answer.why, answer.highest), sent_at)
 
 
-def _clock_alone(self: Tenure, unix: int, now: int) -> Token:
+def _begin_by_clock_only(self: Tenure, unix: int, now: int) -> Token:
     self.token = Token(unix, self.name, self.nonce)
     self.granted_at, self.refusals, self.released = {}, {}, False
     return self.token
 
 
-def _any_order(self: Promise, token: Token, now: int) -> Answer:
+def _handle_request_in_any_order(self: Promise, token: Token, now: int) -> Answer:
     if self.is_active(now) and self.token != token:
         return Answer(token, "held", self.highest, self.token.key)
     self.token, self.until = token, now + self.terms.promise_duration
     return Answer(token, "", token)
 
 
-def _twice(self: Tenure) -> int:
+def _expires_at_counting_twice(self: Tenure) -> int:
     """One voter's answer, and the same once more, make two."""
     latest = sorted([*self.granted_at.values(), *self.granted_at.values()], reverse=True)
     return 0 if self.released or len(latest) < self.quorum else latest[self.quorum - 1] + self.terms.lease
 
 
-def _reach(self: Tenure) -> int:
+def _expires_at_of_answering_majority(self: Tenure) -> int:
     """A majority of those that answered."""
     latest = sorted(self.granted_at.values(), reverse=True)
-    most = len(self.granted_at) // 2 + 1
-    return 0 if self.released or not latest else latest[min(most, len(latest)) - 1] + self.terms.lease
+    majority = len(self.granted_at) // 2 + 1
+    return 0 if self.released or not latest else latest[min(majority, len(latest)) - 1] + self.terms.lease
 
 
 SETS = "sets"  # not a scope: all ways that files may go on
@@ -641,28 +656,32 @@
     "no-drift": ("plain", "a voter counts no longer than the holder", [
         (Terms, "promise_duration", property(lambda self: self.lease))]),
     "clock-token": ("again", "a token is the Unix time and nothing else", [
-        (Tenure, "begin", _clock_alone), (Promise, "handle_request", _any_order)]),
-    "counted-twice": ("renewed", "two answers of one voter count as two", [(Tenure, "expires_at", _twice)]),
+        (Tenure, "begin", _begin_by_clock_only), (Promise, "handle_request", _handle_request_in_any_order)]),
+    "counted-twice": ("renewed", "two answers of one voter count as two", [
+        (Tenure, "expires_at", _expires_at_counting_twice)]),
     "old-ballot": ("both-again", "an answer to an older asking counts", []),
     "those-in-reach": ("plain", "a majority of those who answered is enough", [
-        (Tenure, "expires_at", _reach)]),
+        (Tenure, "expires_at", _expires_at_of_answering_majority)]),
     "old-set": (SETS, "a voter of a new set does not wait for the old one to be gone", [
         (VersionTracker, "is_safe_to_vote", lambda self, own: True)]),
 }  # fmt: skip
 
 
 @contextmanager
-def planted(name: str) -> Iterator[str]:
+def with_mistake(name: str) -> Iterator[str]:
     """The program with one mistake in it; gives the name of the scope that must find it."""
-    global ANSWERED
+    global ANSWER_HANDLER
     scope, _, patches = MISTAKES[name]
     before = [(owner, member, owner.__dict__[member]) for owner, member, _ in patches]
     try:
         for owner, member, new in patches:
             setattr(owner, member, new)
-        ANSWERED = {"from-the-answer": _from_answer, "old-ballot": _any_token}.get(name, answered)
+        ANSWER_HANDLER = {
+            "from-the-answer": _handle_answer_from_receipt,
+            "old-ballot": _handle_answer_to_any_token,
+        }.get(name, handle_answer)
         yield scope
     finally:
-        ANSWERED = answered
+        ANSWER_HANDLER = handle_answer
         for owner, member, old in before:
             setattr(owner, member, old)
--- a/tests/test_duty.py
+++ b/tests/test_duty.py
@@ -204,7 +204,7 @@
 
 
 def test_all_ways_of_going_on_keep_a_shared_voter() -> None:
-    cases, broken = check.sets_hold(3, "abcd")
+    cases, broken = check.check_voter_sets(3, "abcd")
     assert cases > 500 and broken == ""
 
 
@@ -417,21 +417,21 @@
 
 @pytest.mark.parametrize("name", check.MISTAKES)
 def test_each_mistake_put_in_is_found_and_shown(name: str) -> None:
-    with check.planted(name) as where:
+    with check.with_mistake(name) as where:
         if where == check.SETS:
-            assert "can both grant" in check.sets_hold(3, "abcd")[1]
+            assert "can both grant" in check.check_voter_sets(3, "abcd")[1]
             return
         [scope] = [each for each in check.FULL if each.name == where]
         found = check.search(scope)
     assert found.broken and 2 <= len(found.way) <= 20
-    assert check.ANSWERED is check.answered, "the program is whole again"
+    assert check.ANSWER_HANDLER is check.handle_answer, "the program is whole again"
 
 
 def test_the_command_ends_with_1_where_a_mistake_is_not_found(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(check, "QUICK", ())
     monkeypatch.setattr(check, "MISTAKES", {})
     assert CliRunner().invoke(check_command, ["--quick", "-j", "1"]).exit_code == 0
-    monkeypatch.setattr(check, "sets_hold", lambda *_: (1, "broken"))
+    monkeypatch.setattr(check, "check_voter_sets", lambda *_: (1, "broken"))
     assert CliRunner().invoke(check_command, ["--quick", "-j", "1"]).exit_code == 1
 
 
