--- a/limeridge/duty/check.py
+++ b/limeridge/duty/check.py
@@ -1,21 +1,22 @@
-"""An exhaustive search over the decisions of duties themselves: promises, tenures and electorates as they
-stand in the program, on a small clock, with a network that delays, reorders, loses and doubles, with
-restarts, pauses and clocks that drift.
-
-It owns the scopes (how many of what may happen), the events, the states met and the shortest way to a break.
-It must never model what a voter or a holder does: it calls them. A state holds no clock: each time in it is
-what is left of it, and objects of the program are made anew around one fixed `NOW` for each event.
-
-Time is whole ticks. Within one, processes have their turns in a fixed order: candidates' steps, voters,
-candidates' answers; at its turn a process does as many of its events, in any order, as it may, or none. What
-two processes do in a tick touches nothing in common, so other orders come to the same states. A message may
-arrive at any turn of its receiver from then on, or never: so a pause of any process, between any two of its
-steps, is part of each scope. An answer comes at once or never, but where a scope has it come late: when it
-is heard changes nothing about how long it counts. Voters are alike: states that differ in their order alone
-are one.
-
-What must hold in each state: no two hold the duty, each by its own clock; and a token that holds is not below
-one that held before.
+"""Exhaustive model checking of duties: runs the production code of promises, tenures and electorates on a
+small clock, with a network that delays, reorders, loses and duplicates messages, with restarts, pauses and
+clock drift.
+
+Owns the scopes (bounds on how often each event may happen), the events, the visited states and the shortest
+path to a violation. It never models the behaviour of a voter or holder but calls the production code. A state
+holds no clock: each time in it is stored as the time remaining, and production objects are restored around a
+fixed `NOW` for each event.
+
+Time advances in whole ticks. Within a tick, processes have their turns in a fixed order: candidates' steps,
+voters, candidates' answers. At its turn a process performs any number of its possible events, in any order.
+Events of two processes within a tick touch no common state, so other orders reach the same states. A message
+may arrive at any later turn of its receiver, or never, so every scope includes pauses of any process between
+any two of its steps. An answer arrives at once or never, except in scopes with late answers: the time of its
+arrival does not change when the lease ends. Voters are symmetric: states that differ only in the order of
+voters are merged.
+
+Invariants: no two candidates hold the duty, each by its own clock; and a token that holds is not below one
+that held before.
 """
 
 from __future__ import annotations
@@ -38,36 +39,45 @@
 
 @dataclass(slots=True, frozen=True)
 class Scope:
-    """How much of each may happen. `unix` is the Unix time of each candidate, which stands still: the second
-    one's is behind."""
+    """Bounds on how often each event may happen. `unix` is the constant Unix time of each candidate; the
+    second candidate's clock is behind."""
 
     name: str
     about: str
     voters: int = 3
     unix: tuple[int, ...] = (9, 4)
     ticks: int = 5
-    begins: tuple[int, ...] = (1, 1)  # of each candidate
-    renewals: int = 0  # of all
-    gives: int = 0
-    restarts: int = 0  # of voters
-    doubled: int = 0  # messages that arrive twice
-    drifts: int = 0  # times that a clock goes a tick more or less
-    late: int = 0  # ticks past its asker's lease that an answer may come
-    tokens: bool = True  # whether tokens must grow
-    recalls: bool = False  # a voter that has started votes once it remembers, and not before
+    begins: tuple[int, ...] = (1, 1)  # requests that each candidate may start
+    renewals: int = 0  # in total
+    gives: int = 0  # releases by a holder
+    restarts: int = 0  # of any voters
+    doubled: int = 0  # messages that are duplicated
+    drifts: int = 0  # ticks in which one clock advances by 0 or 2
+    late: int = 0  # ticks after the end of the requested lease in which an answer may still arrive
+    tokens: bool = True  # whether tokens must not decrease
+    recalls: bool = False  # a voter that restarted votes only after it has recovered
     lease: int = 2
     drift: float = 0.25
 
 
-QUICK = (  # the longest first
-    Scope("again", "a second asking of one, given back or lapsed", begins=(2, 1), gives=1, ticks=2, lease=1),
-    Scope("plain", "askings late, lost or out of order, a clock that drifts", drifts=1, ticks=4),
-    Scope("late", "answers late too, up to after the lease that they grant", late=2, ticks=3, lease=1),
-    Scope("renewed", "a renewal, a message doubled", renewals=1, doubled=1, ticks=3),
-    Scope("restarted", "a voter restarts and has forgotten", restarts=1, ticks=4, lease=1, tokens=False),
+QUICK = (  # longest-running first
+    Scope(
+        "again",
+        "a second request of one candidate after release or expiry",
+        begins=(2, 1),
+        gives=1,
+        ticks=2,
+        lease=1,
+    ),
+    Scope("plain", "requests late, lost or reordered; clock drift", drifts=1, ticks=4),
+    Scope(
+        "late", "late answers too, even after the end of the lease that they grant", late=2, ticks=3, lease=1
+    ),
+    Scope("renewed", "a renewal, a duplicated message", renewals=1, doubled=1, ticks=3),
+    Scope("restarted", "a voter restarts and loses its state", restarts=1, ticks=4, lease=1, tokens=False),
     Scope(
         "recalled",
-        "the same, and it hears what others know first",
+        "the same, and it recovers from the others before it votes",
         restarts=1,
         ticks=4,
         lease=1,
@@ -76,19 +86,21 @@
 )
 FULL = (
     *QUICK,
-    Scope("both-again", "two askings of each, given back or lapsed", begins=(2, 2), gives=1, ticks=3,
+    Scope("both-again", "two requests of each candidate, after release or expiry", begins=(2, 2), gives=1,
+          ticks=3, lease=1),
+    Scope("drifting", "clock drift in two ticks", drifts=2, ticks=6),
+    Scope("late-drift", "late answers and clock drift", late=3, drifts=1, ticks=4),
+    Scope("twice", "two restarts, together or one after the other", restarts=2, ticks=5, tokens=False,
           lease=1),
-    Scope("drifting", "two drifts of any clocks", drifts=2, ticks=6),
-    Scope("late-drift", "answers late and a clock that drifts", late=3, drifts=1, ticks=4),
-    Scope("twice", "two restarts, at once or one by one", restarts=2, ticks=5, tokens=False, lease=1),
     Scope("five", "five voters, one of them restarts", voters=5, restarts=1, ticks=3, tokens=False, lease=1),
-    Scope("all", "a renewal, a restart, a doubled message and a drift", renewals=1, restarts=1,
+    Scope("all", "a renewal, a restart, a duplicated message and clock drift", renewals=1, restarts=1,
           doubled=1, drifts=1, ticks=4, tokens=False),
 )  # fmt: skip
 
 
 class Ask(NamedTuple):
-    """On its way to a voter. `left` of the asker's lease, by its clock; 0 for one that is given back."""
+    """A request, or a release if `gives`, in flight to a voter. `left`: ticks until it is discarded,
+    by the candidate's clock: the rest of the requested lease, or for a release of `promise_duration`."""
 
     candidate: int
     token: Token
@@ -97,7 +109,7 @@
 
 
 class Reply(NamedTuple):
-    """A voter's answer on its way, `left` ticks from the asking until what it grants is over."""
+    """A voter's answer in flight; `left`: ticks until the requested lease ends."""
 
     candidate: int
     token: Token
@@ -107,22 +119,22 @@
 
 
 class VoterState(NamedTuple):
-    """What one voter holds, each time as the ticks that are left of it."""
+    """State of one voter; times are stored as remaining ticks."""
 
     token: Token = NO_TOKEN
     left: int = 0  # of the promise
     highest: Token = NO_TOKEN
     over: tuple[Token, ...] = ()
-    silent: int = 0  # ticks of silence left after a start
-    patience: int = 0  # until it votes without a quorum that remembers
-    told: int = -1  # voters that told what they remember; -1 for one that never forgot
+    silent: int = 0  # of the silent period after a start
+    patience: int = 0  # until it votes without having recovered
+    told: int = -1  # bit mask of voters that reported their tokens; -1 if it never restarted
     asks: tuple[Ask, ...] = ()
     replies: tuple[Reply, ...] = ()
-    granted: tuple[int, ...] = ()  # by candidate: what is left of what it granted, -1 for nothing
+    granted: tuple[int, ...] = ()  # by candidate: ticks left of the granted lease; -1 for none
 
 
 class TenureState(NamedTuple):
-    """What one candidate holds; `begins` is how often it may still ask anew."""
+    """State of one candidate; `begins`: requests that it may still start."""
 
     token: Token = NO_TOKEN
     given: bool = False
@@ -131,8 +143,8 @@
 
 
 class State(NamedTuple):
-    """Everything at one point: whose turn it is, how much of each kind may still happen, what each process
-    holds."""
+    """Global state: the current turn, the remaining number of each kind of event, the state of each
+    process."""
 
     turn: int
     ticks: int
@@ -146,11 +158,11 @@
     tenures: tuple[TenureState, ...]
 
 
-Transition = tuple[Any, State]  # how to say it, and the state after
+Transition = tuple[Any, State]  # event (None for passing the turn on), next state
 
 
 class StateMachine:
-    """The events of one scope."""
+    """The transition system of one scope."""
 
     def __init__(self, scope: Scope) -> None:
         self.scope = scope
@@ -163,7 +175,7 @@
         self.tick_turn = 2 * self.candidate_count + scope.voters
 
     def initial_state(self) -> State:
-        """The state in which nothing has happened."""
+        """The state before any event."""
         scope, none = self.scope, (-1,) * self.candidate_count
         return State(
             0, scope.ticks, scope.renewals, scope.gives, scope.restarts, scope.doubled, scope.drifts,
@@ -171,10 +183,10 @@
             tuple(TenureState(begins=begins) for begins in scope.begins),
         )  # fmt: skip
 
-    # ---- objects of the program, and back
+    # ---- conversion to and from production objects
 
     def restore_tenure(self, state: State, number: int) -> Tenure:
-        """A candidate's tenure as the program has it, made anew at NOW from what the state keeps."""
+        """Restores a candidate's `Tenure` at NOW from the state."""
         saved = state.tenures[number]
         tenure = Tenure(self.terms, NAMES[number], number + 1, self.quorum, saved.token)
         tenure.released, tenure.highest_known = saved.given, saved.known
@@ -184,7 +196,7 @@
         return tenure
 
     def store_tenure(self, state: State, number: int, tenure: Tenure, begun: int = 0) -> State:
-        """The state with what a tenure holds now; `begun` is how many askings anew it used up."""
+        """Returns the state with the tenure stored in it; `begun`: requests that were started."""
         lease, voters = self.terms.lease, []
         for index, voter in enumerate(state.voters):
             at = tenure.granted_at.get(str(index))
@@ -200,13 +212,13 @@
         return state._replace(voters=tuple(voters), tenures=tenures)
 
     def restore_voter(self, saved: VoterState, name: str) -> Voter:
-        """A voter as the program has it, made anew at NOW from what the state keeps."""
+        """Restores a `Voter` at NOW from its saved state."""
         terms = {DUTY: self.terms}
         if saved.told < 0:
             voter = Voter(name, terms, self.quorum, -NOW)
             voter.told = {f"{n} then": True for n in range(self.quorum)}
         else:
-            # Born so long ago that as much of its silence, or of its patience, is left.
+            # The start time that leaves the saved rest of the silent period, or of the recovery timeout.
             longest = Voter(name, terms, self.quorum, 0).max_promise_duration
             patience = int(RECOVERY_TIMEOUT_FACTOR * longest)
             born = NOW - longest + saved.silent if saved.silent else NOW - patience + saved.patience
@@ -215,17 +227,17 @@
         voter.promises[DUTY] = Promise(self.terms, saved.token, NOW + saved.left, saved.highest, saved.over)
         return voter
 
-    # ---- what must hold
+    # ---- invariants
 
     def violation(self, state: State) -> str:
-        """Which rule the state breaks, in words; empty where it breaks none."""
+        """Describes the invariant that the state violates; empty if it violates none."""
         holders = [
             number
             for number, saved in enumerate(state.tenures)
             if saved.token != NO_TOKEN and not saved.given and self.restore_tenure(state, number).holds(NOW)
         ]
         if len(holders) > 1:
-            return "two hold it: " + " and ".join(
+            return "two hold the duty: " + " and ".join(
                 f"{NAMES[n]} under {state.tenures[n].token.number}" for n in holders
             )
         if self.scope.tokens and holders and state.tenures[holders[0]].token < state.held:
@@ -234,7 +246,7 @@
         return ""
 
     def record_held(self, state: State) -> State:
-        """With the highest token that has held so far."""
+        """Returns the state with the highest token that has held so far updated."""
         highest = state.held
         for number, saved in enumerate(state.tenures):
             if saved.token > highest and not saved.given and self.restore_tenure(state, number).holds(NOW):
@@ -244,7 +256,7 @@
     # ---- events
 
     def transitions(self, state: State) -> Iterator[Transition]:
-        """All events that may come next, each with the state that it leads to."""
+        """All possible next events, each with the resulting state."""
         turn, count = state.turn, self.candidate_count
         if turn == self.tick_turn:
             yield from self.tick_transitions(state)
@@ -258,7 +270,7 @@
         yield None, self.advance_turn(state)
 
     def advance_turn(self, state: State) -> State:
-        """On to the next process that could do something, or to the tick."""
+        """Passes the turn to the next process that has a possible event, or to the tick."""
         turn, count, voters = state.turn + 1, self.candidate_count, self.scope.voters
         while turn < self.tick_turn:
             if turn < count:
@@ -279,7 +291,7 @@
         return state._replace(turn=turn)
 
     def candidate_transitions(self, state: State, number: int) -> Iterator[Transition]:
-        """Of a candidate: asks, asks again, gives back."""
+        """A candidate's own steps: request, renewal, release."""
         saved, tenure = state.tenures[number], self.restore_tenure(state, number)
         holds = tenure.holds(NOW)
         if saved.begins and not holds:
@@ -305,7 +317,7 @@
             )
 
     def send(self, state: State, ask: Ask) -> State:
-        """The state with an asking on its way to every voter."""
+        """Returns the state with a request or release in flight to every voter."""
         voters = tuple(
             voter if ask in voter.asks else voter._replace(asks=tuple(sorted((*voter.asks, ask))))
             for voter in state.voters
@@ -313,8 +325,8 @@
         return state._replace(voters=voters)
 
     def voter_transitions(self, state: State, index: int) -> Iterator[Transition]:
-        """What a voter may do at its turn: take any asking that is on its way, start again, or hear what
-        another one remembers."""
+        """A voter's possible events: receive a request in flight, restart, or receive another voter's
+        recovery report."""
         saved = state.voters[index]
         yield from self.request_transitions(state, index, saved)
         if state.restarts:
@@ -331,17 +343,17 @@
             yield from self.recovery_transitions(state, index, saved)
 
     def request_transitions(self, state: State, index: int, saved: VoterState) -> Iterator[Transition]:
-        """Each asking that is on its way to a voter, with all that its answer may come to."""
+        """Delivery of each request in flight to a voter, with all possible outcomes for its answer."""
         waits = self.scope.recalls and saved.told >= 0 and bin(saved.told).count("1") < self.quorum
         for ask in () if waits else saved.asks:
             rest = tuple(each for each in saved.asks if each != ask)
             voter = self.restore_voter(saved, str(index))
             if ask.gives:
                 voter.release(DUTY, ask.token, "", 0, NOW)
-                answer, outcome = None, "hears that it was given back"
+                answer, outcome = None, "released"
             else:
                 answer = voter.handle_request(DUTY, ask.token, NOW)
-                outcome = "is silent" if answer is None else answer.why or "grants"
+                outcome = "no answer" if answer is None else answer.why or "grants"
             replies, reply = saved.replies, None
             if answer is not None:
                 reply = Reply(ask.candidate, answer.token, answer.why, answer.highest, ask.left)
@@ -356,43 +368,43 @@
             event = ("is asked", index, ask.candidate, ask.token, outcome)
             yield event, self.replace_voter(state, index, new)
             if reply is not None and not self.scope.late:
-                heard = self.deliver_answer(
+                delivered = self.deliver_answer(
                     self.replace_voter(state, index, new._replace(replies=())), index, reply
                 )
-                yield (*event, "and told"), heard
+                yield (*event, "answer delivered"), delivered
                 if state.doubled:
-                    spent = heard._replace(doubled=heard.doubled - 1)
-                    yield (*event, "and told twice"), self.deliver_answer(spent, index, reply)
+                    spent = delivered._replace(doubled=delivered.doubled - 1)
+                    yield (*event, "answer delivered twice"), self.deliver_answer(spent, index, reply)
             if state.doubled:
                 spent = state._replace(doubled=state.doubled - 1)
                 yield (
-                    (*event, "and once more"),
+                    (*event, "request delivered again"),
                     self.replace_voter(spent, index, new._replace(asks=saved.asks)),
                 )
 
     def recovery_transitions(self, state: State, index: int, saved: VoterState) -> Iterator[Transition]:
-        """What a voter that forgot may hear from each that remembers."""
+        """Reports that a restarted voter may receive from each voter that has all its state."""
         for other, source in enumerate(state.voters):
             remembers = source.told < 0 or bin(source.told).count("1") >= self.quorum
             if other != index and remembers and not saved.told >> other & 1:
                 voter = self.restore_voter(saved, str(index))
                 voter.observe_voter(str(other), True, {DUTY: source.highest}, NOW)
                 new = saved._replace(told=saved.told | 1 << other, highest=voter.promise_for(DUTY).highest)
-                yield ("hears what is known to", index, other), self.replace_voter(state, index, new)
+                yield ("receives the recovery report of", index, other), self.replace_voter(state, index, new)
 
     @staticmethod
     def replace_voter(state: State, index: int, voter: VoterState) -> State:
-        """The state with another voter at `index`."""
+        """Returns the state with the voter at `index` replaced."""
         return state._replace(voters=(*state.voters[:index], voter, *state.voters[index + 1 :]))
 
     def late_answer_transitions(self, state: State, number: int) -> Iterator[Transition]:
-        """The late answers that a candidate may hear at its turn."""
+        """Delivery of late answers to a candidate."""
         for index, saved in enumerate(state.voters):
             for reply in saved.replies:
                 if reply.candidate != number:
                     continue
                 rest = tuple(each for each in saved.replies if each != reply)
-                event = ("hears of", number, index, reply.token, reply.why or "granted")
+                event = ("receives answer", number, index, reply.token, reply.why or "granted")
                 yield (
                     event,
                     self.deliver_answer(
@@ -401,14 +413,14 @@
                 )
 
     def deliver_answer(self, state: State, index: int, reply: Reply) -> State:
-        """A candidate, of a voter's answer."""
+        """Delivers a voter's answer to its candidate."""
         tenure = self.restore_tenure(state, reply.candidate)
         answer = Answer(reply.token, reply.why, reply.highest)
         ANSWER_HANDLER(tenure, str(index), answer, NOW + reply.left - self.terms.lease)
         return self.store_tenure(state, reply.candidate, tenure)
 
     def tick_transitions(self, state: State) -> Iterator[Transition]:
-        """The passing of a tick, for all clocks alike or with one that drifts."""
+        """A tick, with all clocks in step or with one that drifts."""
         if not state.ticks:
             return
         state = state._replace(ticks=state.ticks - 1, turn=0)
@@ -420,7 +432,7 @@
                     yield ("tick", who, by), self.advance_clocks(drifted, who, by)
 
     def advance_clocks(self, state: State, drifting: int, by: int) -> State:
-        """A tick, of which the clock of process `drifting` makes `by`."""
+        """Advances all clocks by one tick, but that of process `drifting` by `by`."""
         count, voters = self.scope.voters, []
         steps = [by if drifting == count + number else 1 for number in range(self.candidate_count)]
         for index, saved in enumerate(state.voters):
@@ -444,17 +456,17 @@
 
     @staticmethod
     def age_messages(messages: tuple[Any, ...], steps: list[int], min_left: int) -> set[Any]:
-        """Those that may still come. One whose asker's lease is over is dropped: what it may still do is to
-        make a voter promise what nobody counts, which only keeps others from having it."""
+        """Messages that may still be delivered. A message whose candidate's lease has ended is dropped: it
+        could only make a voter promise a lease that no longer counts, which only blocks other candidates."""
         older = {each._replace(left=each.left - steps[each.candidate]) for each in messages}
         return {each for each in older if each.left > min_left}
 
     def canonical(self, state: State) -> State:
-        """One of those that differ in the order of voters alone: those whose turn is over, and those whose
-        is still to come, each among themselves."""
+        """Representative of the states that differ only in the order of voters, among those whose turn is
+        over and among those whose turn is yet to come."""
         at = min(max(0, state.turn - self.candidate_count), self.scope.voters)
         if any(voter.told > 0 for voter in state.voters):
-            return state  # who told whom goes by places
+            return state  # `told` refers to voters by index
         voters = state.voters
         if state.turn < self.candidate_count or at == self.scope.voters:
             ordered = tuple(sorted(voters))
@@ -463,7 +475,7 @@
         return state if ordered == voters else state._replace(voters=ordered)
 
     def describe(self, event: Any) -> str:
-        """An event in words, for the way to a break."""
+        """Describes an event, for the path to a violation."""
         if event[0] == "tick":
             return "a tick passes" + (
                 f" ({self.clock_name(event[1])} goes {event[2]})" if len(event) > 1 else ""
@@ -472,13 +484,13 @@
             return f"{NAMES[event[1]]} {event[0]} under {event[2].number}"
         if event[0] == "is asked":
             more = f", {event[5]}" if len(event) > 5 else ""
-            return f"a voter hears {NAMES[event[2]]}'s asking under {event[3].number}: {event[4]}{more}"
-        if event[0] == "hears of":
-            return f"{NAMES[event[1]]} hears of a voter under {event[3].number}: {event[4]}"
+            return f"a voter receives {NAMES[event[2]]}'s message under {event[3].number}: {event[4]}{more}"
+        if event[0] == "receives answer":
+            return f"{NAMES[event[1]]} receives a voter's answer under {event[3].number}: {event[4]}"
         return f"a voter {event[0]}" + (" another" if len(event) > 2 else "")
 
     def clock_name(self, who: int) -> str:
-        """Whose clock has that number, in words."""
+        """Describes the owner of clock number `who`."""
         count = self.scope.voters
         return "a voter's clock" if who < count else f"{NAMES[who - count]}'s clock"
 
@@ -488,11 +500,11 @@
 
 @dataclass(slots=True)
 class SearchResult:
-    """What the search of one scope came to; `way` is the shortest way to a break, empty where none is."""
+    """Result of searching one scope; `way` is the shortest path to a violation, empty if there is none."""
 
     scope: str
     states: int = 0
-    depth: int = 0  # of the event furthest from the start, passed turns not counted
+    depth: int = 0  # maximum number of events from the start, passing the turn on not counted
     exhausted: bool = True
     seconds: float = 0.0
     broken: str = ""
@@ -500,7 +512,7 @@
 
 
 def search(scope: Scope, seconds: float = 1e9, max_states: int = 20_000_000) -> SearchResult:
-    """By the number of events, so that the first break has the fewest."""
+    """Breadth-first search by the number of events, so the first violation found has the shortest path."""
     machine = StateMachine(scope)
     found, begun = SearchResult(scope.name), time.monotonic()
     start = machine.initial_state()
@@ -517,7 +529,7 @@
             key = hash(after)
             if key not in parents:
                 parents[key] = here, event
-                # A turn that is passed on is no event: it belongs to the same level.
+                # Passing the turn on is no event, so the next state belongs to the same level.
                 (following if event is not None else level).append((after, key))
             if broken:
                 found.broken, found.exhausted = broken, False
@@ -545,9 +557,9 @@
 
 
 def check_voter_sets(versions: int = 4, names: str = "abcde") -> tuple[int, str]:
-    """All ways in which the files of all voters may go on, from set to set by one name at a time: whether
-    two sets that may both be voting have quorums without a shared voter. Gives the number of cases looked
-    at, and the first break in words."""
+    """Checks all sequences of voter sets that differ by one name, with every assignment of versions to
+    voters: no two sets may both be able to grant. Returns the number of cases checked and a
+    description of the first violation, empty if there is none."""
     cases = 0
     for sets in _version_chains(names, versions):
         electorates = [
@@ -570,7 +582,7 @@
 
 
 def _can_grant(electorate: Electorate, version: dict[str, int]) -> bool:
-    """Whether a quorum of this set votes under it now."""
+    """Whether a quorum of this set may vote under its version now."""
     voting = 0
     for name in electorate.voters:
         if version[name] == electorate.version:
@@ -603,11 +615,11 @@
             yield (*rest, version)
 
 
-# ---- mistakes put in, one at a time
+# ---- injected mistakes, one at a time
 
 
 def handle_answer(tenure: Tenure, voter: str, answer: Answer, sent_at: int) -> None:
-    """Hands an answer to a tenure; a function of its own so that a mistake can be put in its place."""
+    """Passes an answer to a tenure; a separate function so that a mistake can replace it."""
     tenure.handle_answer(voter, answer, sent_at)
 
 
@@ -636,40 +648,40 @@
 
 
 def _expires_at_counting_twice(self: Tenure) -> int:
-    """One voter's answer, and the same once more, make two."""
+    """Counts each voter's answer twice."""
     latest = sorted([*self.granted_at.values(), *self.granted_at.values()], reverse=True)
     return 0 if self.released or len(latest) < self.quorum else latest[self.quorum - 1] + self.terms.lease
 
 
 def _expires_at_of_answering_majority(self: Tenure) -> int:
-    """A majority of those that answered."""
+    """Counts a majority of the voters that answered as a quorum."""
     latest = sorted(self.granted_at.values(), reverse=True)
     majority = len(self.granted_at) // 2 + 1
     return 0 if self.released or not latest else latest[min(majority, len(latest)) - 1] + self.terms.lease
 
 
-SETS = "sets"  # not a scope: all ways that files may go on
+SETS = "sets"  # not a scope: all sequences of voter sets
 MISTAKES: dict[str, tuple[str, str, list[tuple[Any, str, Any]]]] = {
-    "no-silence": ("restarted", "a voter that has started votes at once", [
+    "no-silence": ("restarted", "a voter votes immediately after a start", [
         (Voter, "can_vote", lambda self, now: True)]),
-    "from-the-answer": ("late", "a holder's time runs from the answer", []),
-    "no-drift": ("plain", "a voter counts no longer than the holder", [
+    "from-the-answer": ("late", "a holder's lease runs from the answer", []),
+    "no-drift": ("plain", "a voter does not add the clock drift", [
         (Terms, "promise_duration", property(lambda self: self.lease))]),
-    "clock-token": ("again", "a token is the Unix time and nothing else", [
+    "clock-token": ("again", "a token is only the Unix time", [
         (Tenure, "begin", _begin_by_clock_only), (Promise, "handle_request", _handle_request_in_any_order)]),
-    "counted-twice": ("renewed", "two answers of one voter count as two", [
+    "counted-twice": ("renewed", "two answers of one voter count as two votes", [
         (Tenure, "expires_at", _expires_at_counting_twice)]),
-    "old-ballot": ("both-again", "an answer to an older asking counts", []),
-    "those-in-reach": ("plain", "a majority of those who answered is enough", [
+    "old-ballot": ("both-again", "an answer to an older request counts", []),
+    "those-in-reach": ("plain", "a majority of those that answered is a quorum", [
         (Tenure, "expires_at", _expires_at_of_answering_majority)]),
-    "old-set": (SETS, "a voter of a new set does not wait for the old one to be gone", [
+    "old-set": (SETS, "a voter of a new set does not wait until the old set is retired", [
         (VersionTracker, "is_safe_to_vote", lambda self, own: True)]),
 }  # fmt: skip
 
 
 @contextmanager
 def with_mistake(name: str) -> Iterator[str]:
-    """The program with one mistake in it; gives the name of the scope that must find it."""
+    """Injects a mistake into the production code; yields the name of the scope that must find it."""
     global ANSWER_HANDLER
     scope, _, patches = MISTAKES[name]
     before = [(owner, member, owner.__dict__[member]) for owner, member, _ in patches]
