--- a/limeridge/duty/candidacy.py
+++ b/limeridge/duty/candidacy.py
@@ -47,7 +47,7 @@
     requested_at: int = -1  # of the pending request; -1 if there is none
     renewed_at: int = 0
     vacant_since: int = -1  # since when no holder is known; -1 if there is one
-    better_since: dict[str, int] = field(default_factory=dict)
+    higher_ranked_since: dict[str, int] = field(default_factory=dict)
 
     def ranked(self, present: Sequence[str]) -> list[str]:
         """The names in the order in which they request this duty; the same at all members."""
@@ -107,13 +107,15 @@
         """The highest-ranked member above this one that has been present for `min_presence`; empty if there
         is none. Must be called regularly, since it keeps track of presence."""
         ranked = self.ranked(present)
-        better = ranked[: ranked.index(self.own)] if self.own in ranked else ranked
-        self.better_since = {name: self.better_since.get(name, now) for name in better}
-        eligible = [name for name in better if now - self.better_since[name] >= self.timing.min_presence]
+        higher_ranked = ranked[: ranked.index(self.own)] if self.own in ranked else ranked
+        self.higher_ranked_since = {name: self.higher_ranked_since.get(name, now) for name in higher_ranked}
+        eligible = [
+            name for name in higher_ranked if now - self.higher_ranked_since[name] >= self.timing.min_presence
+        ]
         if not eligible:
             return ""
         # If the successor cannot take over and the duty returns here, wait as long before offering it again.
-        self.better_since.clear()
+        self.higher_ranked_since.clear()
         return eligible[0]
 
     def fallback_successor(self, present: Sequence[str]) -> str:
--- a/limeridge/duty/member.py
+++ b/limeridge/duty/member.py
@@ -185,12 +185,12 @@
             self.next_recovery_query = now + max(
                 1, self.voter.max_promise_duration // RECOVERY_QUERIES_PER_PROMISE
             )
-            for name in self._others():
+            for name in self._other_voters():
                 self.out.append((name, messages.RecoveryQuery(self.electorate.version)))
         for name in self.declared:
             self._update(name, unix, now)
 
-    def _others(self) -> list[str]:
+    def _other_voters(self) -> list[str]:
         return [name for name in self.electorate.voters if name != self.own]
 
     def _update(self, duty: str, unix: int, now: int) -> None:
@@ -266,7 +266,7 @@
             return
         keep = self.candidates[duty].timing.answer_timeout * 2 if successor else 0
         release = messages.LeaseRelease(duty, tenure.release(), successor, keep)
-        for name in self._others():
+        for name in self._other_voters():
             self.out.append((name, release))
         if self.is_voter:
             self.voter.release(duty, release.token, successor, keep, now)
