--- a/limeridge/peers/link.py
+++ b/limeridge/peers/link.py
@@ -24,12 +24,12 @@
 
 from limeridge import __version__
 from limeridge.config import ConfigError, Setup
-from limeridge.duty.allot import Taker
+from limeridge.duty.allot import Grantee
 from limeridge.duty.allot import Terms as AllotTerms
 from limeridge.duty.allotting import DUTY as ALLOT
-from limeridge.duty.allotting import Allotting
+from limeridge.duty.allotting import CallAllotment
 from limeridge.duty.delegate import DutyDelegate
-from limeridge.duty.member import Declared, Duties
+from limeridge.duty.member import Duties, DutySpec
 from limeridge.peers.gate import Gate
 from limeridge.peers.members import Address, Claim
 from limeridge.peers.messages import (
@@ -217,7 +217,7 @@
             result = self.service.build_summary()
         elif command == b"duties":
             result = (
-                self.service.duties.shown(self.service.clock()) if self.service.duties is not None else {}
+                self.service.duties.status(self.service.clock()) if self.service.duties is not None else {}
             )
         elif command.startswith((b"release ", b"move ")):
             result = self.service.hand_over(command.decode("utf-8", "replace").split("\t"))
@@ -309,9 +309,9 @@
         declared, name = {}, f"list-read {own.zone}".strip()
         if settings.list_read:
             meanwhile = "each reads for itself, seldom"
-            declared[name] = Declared(name, settings.terms, meanwhile=meanwhile)
+            declared[name] = DutySpec(name, settings.terms, meanwhile=meanwhile)
         if settings.allot:
-            declared[ALLOT] = Declared(ALLOT, settings.terms, meanwhile="floors alone")
+            declared[ALLOT] = DutySpec(ALLOT, settings.terms, meanwhile="floors alone")
         duties = Duties(
             own.name, own.life.nonce, settings.electorate, declared, settings.waits, rng, now, settings.terms
         )
@@ -319,8 +319,8 @@
         terms = self.peer.terms
         if settings.allot and terms is not None:
             allot = AllotTerms(terms.surplus, settings.allot, terms.longest, terms.drift)
-            allotting = Allotting(
-                allot, duties, Taker(allot), lambda: max(0, self.gate.collect_demand() - terms.floor)
+            allotting = CallAllotment(
+                allot, duties, Grantee(allot), lambda: max(0, self.gate.collect_demand() - terms.floor)
             )
             self.peer.use_allotted_surplus(allotting.share)
         if settings.list_read:
--- a/limeridge/peers/setup.py
+++ b/limeridge/peers/setup.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 
 from limeridge.duty.ballots import Terms as DutyTerms
+from limeridge.duty.candidacy import CandidateTiming
 from limeridge.duty.electorate import Electorate
-from limeridge.duty.seek import Waits
 from limeridge.peers.intervals import Intervals
 from limeridge.peers.members import Address
 from limeridge.peers.messages import derive_key
@@ -30,7 +30,7 @@
 
     electorate: Electorate
     terms: DutyTerms
-    waits: Waits
+    waits: CandidateTiming
     list_read: bool
     allot: int  # microseconds that a grant of calls lasts; 0 if the limit is not allotted by demand
 
@@ -101,7 +101,7 @@
                     f"duties.{place}[{number}]", f"expected a name of 1 to {MAX_NAME_LENGTH} characters"
                 )
     checked.number("duties.version", duties.version, 1, 1_000_000, "a version")
-    if fault := _electorate(duties).faults():
+    if fault := _electorate(duties).validation_error():
         place = "before" if "change" in fault or "before" in fault else "voter"
         raise checked.refuse(f"duties.{place}", fault)
     lease = duties.lease_ms or 3_000
@@ -232,7 +232,12 @@
     return DutySetup(
         _electorate(duties),
         DutyTerms(lease, drift, margin=min(50 * MS, lease // 10)),
-        Waits(step, answer=2 * step, longest=10 * step, steady=int((duties.steady_ms or 30_000) * MS)),
+        CandidateTiming(
+            step,
+            answer_timeout=2 * step,
+            max_backoff=10 * step,
+            min_presence=int((duties.steady_ms or 30_000) * MS),
+        ),
         duties.list_read,
         int((duties.allot_ms or 1_500) * MS) if duties.ledger_allot else 0,
     )
