--- a/limeridge/sim/oracles.py
+++ b/limeridge/sim/oracles.py
@@ -40,10 +40,10 @@
 )
 
 MS = 1_000
-HEALTH_WAIT = 700 * MS  # that a health check may take: a deep one asks the kernel for half a second
-MEMORY_FROM = 100 * MS  # after it was written that a held txn counts
-REPEAT_LEAST = 100 * MS  # left to its due time, with which a repeat must get its key's result
-OPEN_MOST = 32  # txns open on a connection
+HEALTH_CHECK_TIMEOUT = 700 * MS  # that a health check may take: a deep one asks the kernel for half a second
+MEMORY_COUNTED_AFTER = 100 * MS  # after it was written that a held txn counts
+MIN_TIME_FOR_REPEAT = 100 * MS  # left to its due time, with which a repeat must get its key's result
+MAX_OPEN_TXNS = 32  # txns open on a connection
 RULES = {
     "one-answer": "exactly one final answer a txn",
     "due": "answered by the due time",
@@ -81,65 +81,65 @@
 }
 
 
-class Broken(Exception):
+class RuleViolation(Exception):
     """A rule was broken: its name, the txn if there is one, and what was seen."""
 
-    def __init__(self, rule: str, ref: str, what: str) -> None:
-        super().__init__(f"{rule}: {what}" + (f" (txn {ref})" if ref else ""))
-        self.rule, self.ref, self.what = rule, ref, what
+    def __init__(self, rule: str, ref: str, detail: str) -> None:
+        super().__init__(f"{rule}: {detail}" + (f" (txn {ref})" if ref else ""))
+        self.rule, self.ref, self.detail = rule, ref, detail
 
 
 @dataclass(slots=True, eq=False)
-class Case:
+class TxnView:
     """A txn as the wires showed it."""
 
-    ask: Asked
+    request: Asked
     product: Product
-    read: int
-    landed: int
-    due: int
-    answer: str = ""
-    gone: bool = False
-    extra: int = 0  # answers after the caller was gone, of which one does no harm
-    sched: int = -1
-    sched_turn: int = 0
-    links: dict[int, str] = field(default_factory=dict)  # the last command for it on each link
-    end: str = ""
-    ended: int = -1  # the turn in which its end was read
+    read_at: int
+    sent_at: int
+    due_at: int
+    answer_kind: str = ""
+    withdrawn: bool = False
+    late_answers: int = 0  # answers after the caller was gone, of which one does no harm
+    scheduled_at: int = -1
+    scheduled_turn: int = 0
+    last_commands: dict[int, str] = field(default_factory=dict)  # the last command for it on each link
+    fate: str = ""
+    ended_turn: int = -1  # the turn in which its end was read
     result: str = ""
     on_cores: bool = False
-    cursor: int = 0  # of the call that it waits for
-    asked_at: int = 0  # the cursor of its last call
-    wants: bytes = b""
-    reply: bytes | None = None  # a good one that came for this call
-    call_proved: bool = True  # no call for this cursor can have had an effect
+    awaited_cursor: int = 0  # of the call that it waits for
+    last_call_cursor: int = 0  # the cursor of its last call
+    call_body: bytes = b""
+    good_reply: bytes | None = None  # a good one that came for this call
+    call_repeatable: bool = True  # no call for this cursor can have had an effect
     answered_as_run: bool = False
-    turn: int = 0  # in which it was read
+    read_turn: int = 0  # in which it was read
 
-    def same_request(self, other: Case) -> bool:
+    def same_request(self, other: TxnView) -> bool:
         """Whether both are of one body and one tenant, as repeats under a key are."""
-        return (self.ask.doc, self.ask.customer) == (other.ask.doc, other.ask.customer)
+        return (self.request.doc, self.request.customer) == (other.request.doc, other.request.customer)
 
-    def holds_key_at(self, other: Case) -> bool:
+    def certainly_held_key_when_read(self, other: TxnView) -> bool:
         """Whether it certainly stood for its key when `other` was read: it was running or had run, within
         its window."""
         return (
-            self.end != "void"
-            and self.sched_turn < other.turn
-            and other.read < self.landed + self.product.window - 5 * MS
+            self.fate != "void"
+            and self.scheduled_turn < other.read_turn
+            and other.read_at < self.sent_at + self.product.window - 5 * MS
         )
 
 
 @dataclass(slots=True, eq=False)
-class Out:
+class OutstandingCall:
     """A call in hand."""
 
-    case: Case
+    txn: TxnView
     cursor: int
-    begun: int
-    wait: int
+    begun_at: int
+    time_limit_us: int
     replied: bool = False
-    end: int = -1
+    replied_at: int = -1
 
 
 class Oracles:
@@ -148,520 +148,572 @@
     def __init__(
         self,
         plan: Plan,
-        born: int,
-        offset: Callable[[], int],
-        paused: Callable[[], bool],
-        note: Callable[[str, str], None],
+        started_at: int,
+        unix_offset: Callable[[], int],
+        is_paused: Callable[[], bool],
+        record_event: Callable[[str, str], None],
         judged: Counter[str],
-        kernel_up: int,
+        kernel_started_at: int,
         cold: bool,
-        earlier: Sequence[tuple[int, int]] = (),  # begins and ends of the calls of lives before this one
+        earlier_calls: Sequence[
+            tuple[int, int]
+        ] = (),  # begins and ends of the calls of lives before this one
     ) -> None:
-        self.plan, self.born, self.offset, self.paused, self.note = plan, born, offset, paused, note
+        self.plan, self.started_at, self.unix_offset, self.is_paused, self.record_event = (
+            plan,
+            started_at,
+            unix_offset,
+            is_paused,
+            record_event,
+        )
         self.judged = judged
-        self.kernel_up, self.cold = kernel_up, cold
+        self.kernel_started_at, self.cold = kernel_started_at, cold
         self.products = {product.name: product for product in plan.products}
         self.slack = 60 * MS + 4 * plan.quantum
-        self.now = born
+        self.now = started_at
         self.turn = 0  # of the loop, as the world counts
-        self.cases: dict[tuple[int, int], Case] = {}
-        self.by_ref: dict[str, Case] = {}
-        self.odd: dict[int, bool] = {}  # lines that sent what can't be served
-        self.open_on: dict[int, int] = {}  # txns open on a line
-        self.dues: list[tuple[int, int, Case]] = []
-        self.checks: dict[tuple[int, int], int] = {}
-        self.serial = 0
-        self.resumed = -SECOND  # when the machine last went on after a pause
-        self.stepped = -SECOND  # when its Unix time last stepped
-        self.left: int | None = None
-        self.left_paused = False
-        self.keys: dict[tuple[str, str], list[Case]] = {}
-        self.docs: dict[tuple[str, str], list[Case]] = {}  # ended well, by key
-        self.link, self.cursor = -1, 0
-        self.running = 0
-        self.memory_check = born
-        self.calls: dict[int, Out] = {}
-        self.past: deque[tuple[int, int]] = deque()
-        self.earlier = tuple(earlier)
-        self.closed = False
-        self.lines: dict[int, bool] = {}  # open ones of callers: whether it sent a request or a check
-        self.closing: set[int] = set()  # lines whose end the instance asked for
-        self.cut_for_room: set[int] = set()
-        self.dropped: set[str] = set()  # requests read behind the instance's own end of the stream
+        self.txns: dict[tuple[int, int], TxnView] = {}
+        self.txns_by_ref: dict[str, TxnView] = {}
+        self.nonconforming_lines: dict[int, bool] = {}  # lines that sent what can't be served
+        self.open_txns: dict[int, int] = {}  # txns open on a line
+        self.due_queue: list[tuple[int, int, TxnView]] = []
+        self.open_health_checks: dict[tuple[int, int], int] = {}
+        self.due_serial = 0
+        self.resumed_at = -SECOND  # when the machine last went on after a pause
+        self.clock_stepped_at = -SECOND  # when its Unix time last stepped
+        self.drain_noticed_at: int | None = None
+        self.drain_notice_held = False
+        self.keyed_runs: dict[tuple[str, str], list[TxnView]] = {}
+        self.keyed_successes: dict[tuple[str, str], list[TxnView]] = {}  # ended well, by key
+        self.current_link, self.last_cursor = -1, 0
+        self.runs_on_cores = 0
+        self.next_memory_check = started_at
+        self.open_calls: dict[int, OutstandingCall] = {}
+        self.ended_calls: deque[tuple[int, int]] = deque()
+        self.earlier_calls = tuple(earlier_calls)
+        self.process_ended = False
+        self.line_has_sent: dict[int, bool] = {}  # open ones of callers: whether it sent a request or a check
+        self.closing_lines: set[int] = set()  # lines whose end the instance asked for
+        self.evicted_lines: set[int] = set()
+        self.unanswerable_refs: set[str] = set()  # requests read behind the instance's own end of the stream
 
     # ---- the world's own events
 
-    def resume(self, now: int) -> None:
-        self.resumed = now
-        if self.left is not None and self.left_paused:
-            self.left, self.left_paused = now, False
+    def on_resume(self, now: int) -> None:
+        self.resumed_at = now
+        if self.drain_noticed_at is not None and self.drain_notice_held:
+            self.drain_noticed_at, self.drain_notice_held = now, False
 
-    def step_clock(self, now: int) -> None:
-        self.stepped = now
+    def on_clock_step(self, now: int) -> None:
+        self.clock_stepped_at = now
 
-    def leave(self, now: int) -> None:
-        if self.left is None:
-            self.left, self.left_paused = now, self.paused()  # in a pause it hears of the notice at its end
+    def on_drain_notice(self, now: int) -> None:
+        if self.drain_noticed_at is None:
+            self.drain_noticed_at, self.drain_notice_held = (
+                now,
+                self.is_paused(),
+            )  # in a pause it hears of the notice at its end
 
-    def stopped(self, now: int) -> None:
+    def on_process_exit(self, now: int) -> None:
         """The process ended by itself."""
-        self.closed = True
+        self.process_ended = True
         self.judged["stop"] += 1
-        for case in self.cases.values():
-            if not case.answer and not case.gone:
-                raise Broken("stop", case.ask.ref, "read, and not answered when the process ended")
+        for txn in self.txns.values():
+            if not txn.answer_kind and not txn.withdrawn:
+                raise RuleViolation("stop", txn.request.ref, "read, and not answered when the process ended")
 
-    def logged(self, event: str, code: str, text: str) -> None:
+    def on_log_line(self, event: str, code: str, text: str) -> None:
         if "exception" in text and '"trace"' in text:
-            raise Broken("exception", "", text[:1_500])
+            raise RuleViolation("exception", "", text[:1_500])
         if event == "overdue":
-            raise Broken("guard", "", text[:300])
+            raise RuleViolation("guard", "", text[:300])
 
-    def passed(self, now: int) -> None:
+    def on_time_advance(self, now: int) -> None:
         """Time went on."""
         self.now = now
-        dues = self.dues
-        while dues and dues[0][0] < now:
-            _, _, case = heapq.heappop(dues)
-            if case.answer or case.gone or self.closed:
+        due_queue = self.due_queue
+        while due_queue and due_queue[0][0] < now:
+            _, _, txn = heapq.heappop(due_queue)
+            if txn.answer_kind or txn.withdrawn or self.process_ended:
                 continue
-            if self.paused() or now <= self.resumed + self.slack:
-                self._owe(case, now + self.slack)
+            if self.is_paused() or now <= self.resumed_at + self.slack:
+                self._schedule_due_check(txn, now + self.slack)
                 continue
-            raise Broken(
-                "due", case.ask.ref, f"not answered {(now - case.due) / MS:.0f} ms past its due time"
+            raise RuleViolation(
+                "due", txn.request.ref, f"not answered {(now - txn.due_at) / MS:.0f} ms past its due time"
             )
-        if self.checks and not self.paused() and now > self.resumed + HEALTH_WAIT:
-            first = next(iter(self.checks.items()))
-            if first[1] + HEALTH_WAIT < now:
-                raise Broken("health", "", f"a health check not answered for {(now - first[1]) / MS:.0f} ms")
+        if self.open_health_checks and not self.is_paused() and now > self.resumed_at + HEALTH_CHECK_TIMEOUT:
+            oldest = next(iter(self.open_health_checks.items()))
+            if oldest[1] + HEALTH_CHECK_TIMEOUT < now:
+                raise RuleViolation(
+                    "health", "", f"a health check not answered for {(now - oldest[1]) / MS:.0f} ms"
+                )
 
-    def _owe(self, case: Case, at: int) -> None:
-        self.serial += 1
-        heapq.heappush(self.dues, (at, self.serial, case))
+    def _schedule_due_check(self, txn: TxnView, at: int) -> None:
+        self.due_serial += 1
+        heapq.heappush(self.due_queue, (at, self.due_serial, txn))
 
     # ---- the wires
 
-    def see(self, now: int, event: Passed) -> None:
+    def on_event(self, now: int, event: Passed) -> None:
         self.now = now
         match event:
             case Notice():
-                self._notice(event)
+                self._on_notice(event)
             case Command():
-                self._command(event)
+                self._on_command(event)
             case Asked():
-                self._asked(event)
+                self._on_asked(event)
             case Answered():
-                self._answered(event)
+                self._on_answered(event)
             case CallMade():
-                self._call(event)
+                self._on_call_made(event)
             case Replied():
-                self._replied(event)
+                self._on_replied(event)
             case CallEnded():
-                self._call_ended(event)
+                self._on_call_ended(event)
             case Revoked():
-                self._revoked(event)
+                self._on_revoked(event)
             case Checked():
-                self.lines[event.line] = True
-                self.checks[event.line, event.id] = now
+                self.line_has_sent[event.line] = True
+                self.open_health_checks[event.line, event.id] = now
             case LineEnded():
-                self._line_ended(event)
+                self._on_line_ended(event)
             case LineMade():
-                self.lines[event.line] = False
+                self.line_has_sent[event.line] = False
             case LineClosing():
-                self._line_closing(event)
+                self._on_line_closing(event)
             case Dropped():
-                self.dropped.add(event.ref)
+                self.unanswerable_refs.add(event.ref)
             case SenderEnded():
-                self._sender_ended(event)
+                self._on_sender_ended(event)
             case LinkMade():
-                self.note("link", "")
+                self.record_event("link", "")
             case LinkEnded():
-                self.note("link-end", "")
+                self.record_event("link-end", "")
             case Odd():
-                self.odd[event.line] = True
+                self.nonconforming_lines[event.line] = True
             case Farewell():
-                self.note("farewell", "")
+                self.record_event("farewell", "")
             case Garbled():
-                raise Broken("form", "", f"to {event.role}: {event.data!r}")
+                raise RuleViolation("form", "", f"to {event.role}: {event.data!r}")
 
-    def _asked(self, ask: Asked) -> None:
-        now, product = self.now, self.products[ask.product]
-        self.lines[ask.line] = True
-        if ask.ref in self.by_ref or (ask.line, ask.id) in self.cases:
-            self.odd[ask.line] = True  # an id or ref used again: no usual caller
+    def _on_asked(self, request: Asked) -> None:
+        now, product = self.now, self.products[request.product]
+        self.line_has_sent[request.line] = True
+        if request.ref in self.txns_by_ref or (request.line, request.id) in self.txns:
+            self.nonconforming_lines[request.line] = True  # an id or ref used again: no usual caller
             return
-        self.open_on[ask.line] = self.open_on.get(ask.line, 0) + 1
-        if self.open_on[ask.line] > OPEN_MOST:
-            self.odd[ask.line] = True
-        landed = ask.landed_ms * MS - self.offset()
-        patience = int(ask.patience * MS)
-        due = min(now + patience, landed + patience + MS)
-        if now - self.stepped < 3 * SECOND:  # its age can't be known
-            due = now + patience
-        case = Case(ask, product, now, min(landed, now), max(due, now), turn=self.turn)
-        self.cases[ask.line, ask.id] = self.by_ref[ask.ref] = case
+        self.open_txns[request.line] = self.open_txns.get(request.line, 0) + 1
+        if self.open_txns[request.line] > MAX_OPEN_TXNS:
+            self.nonconforming_lines[request.line] = True
+        sent_at = request.landed_ms * MS - self.unix_offset()
+        time_limit = int(request.patience * MS)
+        due = min(now + time_limit, sent_at + time_limit + MS)
+        if now - self.clock_stepped_at < 3 * SECOND:  # its age can't be known
+            due = now + time_limit
+        txn = TxnView(request, product, now, min(sent_at, now), max(due, now), read_turn=self.turn)
+        self.txns[request.line, request.id] = self.txns_by_ref[request.ref] = txn
         if self.plan.memory_kb:
-            self._judge_memory()
-        if not self.odd.get(ask.line):
-            self._owe(case, case.due + self.slack)
+            self._check_memory()
+        if not self.nonconforming_lines.get(request.line):
+            self._schedule_due_check(txn, txn.due_at + self.slack)
         self.judged["due"] += 1
-        self.note("asked", ask.ref)
+        self.record_event("asked", request.ref)
 
-    def _answered(self, answer: Answered) -> None:
+    def _on_answered(self, answer: Answered) -> None:
         if answer.value is not None and answer.value < 0:
-            raise Broken("form", "", f"a value of {answer.value}")
+            raise RuleViolation("form", "", f"a value of {answer.value}")
         if answer.kind == "health":
-            if self.checks.pop((answer.line, answer.id or 0), None) is None:
-                raise Broken("health", "", "an answer to no health check")
+            if self.open_health_checks.pop((answer.line, answer.id or 0), None) is None:
+                raise RuleViolation("health", "", "an answer to no health check")
             self.judged["health"] += 1
             return
-        case = self.cases.get((answer.line, answer.id or 0))
-        if case is None:
-            if not self.odd.get(answer.line):
-                raise Broken("one-answer", "", f"an answer to id {answer.id}, which asked nothing")
+        txn = self.txns.get((answer.line, answer.id or 0))
+        if txn is None:
+            if not self.nonconforming_lines.get(answer.line):
+                raise RuleViolation("one-answer", "", f"an answer to id {answer.id}, which asked nothing")
             return
-        ref = case.ask.ref
+        ref = txn.request.ref
         self.judged["one-answer"] += 1
-        if case.answer or (case.gone and case.extra):
-            raise Broken("one-answer", ref, f"{answer.kind} after {case.answer or 'gone and answered'}")
-        if case.gone:
-            case.extra = 1
-        case.answer = answer.kind
-        self.open_on[answer.line] = self.open_on.get(answer.line, 0) - (not case.gone)
-        self.note(answer.kind, ref)
+        if txn.answer_kind or (txn.withdrawn and txn.late_answers):
+            raise RuleViolation(
+                "one-answer", ref, f"{answer.kind} after {txn.answer_kind or 'gone and answered'}"
+            )
+        if txn.withdrawn:
+            txn.late_answers = 1
+        txn.answer_kind = answer.kind
+        self.open_txns[answer.line] = self.open_txns.get(answer.line, 0) - (not txn.withdrawn)
+        self.record_event(answer.kind, ref)
         if answer.come_back < 0 or answer.come_back > 1_000:
-            raise Broken("form", ref, f"told to come back after {answer.come_back} ms")
-        self._judge_key(case, answer.kind)
+            raise RuleViolation("form", ref, f"told to come back after {answer.come_back} ms")
+        self._check_key(txn, answer.kind)
         if answer.kind == "settled":
-            self._judge_result(case, answer.doc)
+            self._check_result(txn, answer.doc)
         else:
             # What was read in this very turn may stand behind what the answer came from.
-            if case.end == "ok" and not case.gone and case.ended < self.turn:
-                raise Broken("kept-back", ref, f"its run ended well, and it was {answer.kind}")
-            if answer.kind == "declined" and case.product.kind != "free":
+            if txn.fate == "ok" and not txn.withdrawn and txn.ended_turn < self.turn:
+                raise RuleViolation("kept-back", ref, f"its run ended well, and it was {answer.kind}")
+            if answer.kind == "declined" and txn.product.kind != "free":
                 self.judged["unsaid"] += 1
-                if case.sched >= 0 and case.end != "void":
-                    raise Broken("unsaid", ref, "declined after it was started")
+                if txn.scheduled_at >= 0 and txn.fate != "void":
+                    raise RuleViolation("unsaid", ref, "declined after it was started")
 
-    def _judge_result(self, case: Case, doc: str) -> None:
+    def _check_result(self, txn: TxnView, doc: str) -> None:
         self.judged["result"] += 1
-        if case.end == "ok" and doc == case.result:
+        if txn.fate == "ok" and doc == txn.result:
             return
-        if case.ask.key:
-            kept = self.docs.get((case.ask.product, case.ask.key), ())
-            if any(other.result == doc and other.same_request(case) for other in kept):
+        if txn.request.key:
+            successes = self.keyed_successes.get((txn.request.product, txn.request.key), ())
+            if any(other.result == doc and other.same_request(txn) for other in successes):
                 return
-            if any(other.result == doc for other in kept):
-                raise Broken("key-copied", case.ask.ref, "settled with the result of another body or tenant")
-        raise Broken("result", case.ask.ref, f"settled with {doc[:60]!r}, which no run of it gave")
+            if any(other.result == doc for other in successes):
+                raise RuleViolation(
+                    "key-copied", txn.request.ref, "settled with the result of another body or tenant"
+                )
+        raise RuleViolation("result", txn.request.ref, f"settled with {doc[:60]!r}, which no run of it gave")
 
-    def _judge_key(self, case: Case, kind: str) -> None:
+    def _check_key(self, txn: TxnView, kind: str) -> None:
         """What a key is worth to its own request and to others; by those that certainly held it when this
         one was read."""
-        if not case.ask.key or case.gone or self.now - self.stepped < 3 * SECOND:
+        if not txn.request.key or txn.withdrawn or self.now - self.clock_stepped_at < 3 * SECOND:
             return
         holders = [
             other
-            for other in self.keys.get((case.ask.product, case.ask.key), ())
-            if other is not case and other.holds_key_at(case)
+            for other in self.keyed_runs.get((txn.request.product, txn.request.key), ())
+            if other is not txn and other.certainly_held_key_when_read(txn)
         ]
-        if any(not other.same_request(case) for other in holders):
+        if any(not other.same_request(txn) for other in holders):
             self.judged["key-copied"] += 1
             if kind != "voided":
-                raise Broken("key-copied", case.ask.ref, f"{kind} under a key that another request holds")
-        elif any(other.end == "ok" and other.ended < case.turn for other in holders):
-            if self.left is not None or case.due < self.now + REPEAT_LEAST:
+                raise RuleViolation(
+                    "key-copied", txn.request.ref, f"{kind} under a key that another request holds"
+                )
+        elif any(other.fate == "ok" and other.ended_turn < txn.read_turn for other in holders):
+            if self.drain_noticed_at is not None or txn.due_at < self.now + MIN_TIME_FOR_REPEAT:
                 return
             self.judged["key-kept"] += 1
             if kind != "settled":
-                raise Broken("key-kept", case.ask.ref, f"{kind}, and the result of its key was kept")
-
-    def _revoked(self, revoked: Revoked) -> None:
-        case = self.cases.get((revoked.line, revoked.id))
-        if case is None and revoked.ref in self.by_ref:
-            case = self.by_ref[revoked.ref]
-        if case is not None and not case.gone:
-            case.gone = True
-            self.open_on[case.ask.line] = self.open_on.get(case.ask.line, 0) - (not case.answer)
-            self.note("revoke", case.ask.ref)
-
-    def _line_ended(self, ended: LineEnded) -> None:
-        odd = self.odd.pop(ended.line, False)
-        self.open_on.pop(ended.line, None)
-        self.lines.pop(ended.line, None)
-        for where in [where for where in self.checks if where[0] == ended.line]:
-            del self.checks[where]
-        for where in [where for where in self.cases if where[0] == ended.line]:
-            case = self.cases.pop(where)
-            if case.answer or case.gone:
+                raise RuleViolation(
+                    "key-kept", txn.request.ref, f"{kind}, and the result of its key was kept"
+                )
+
+    def _on_revoked(self, revoked: Revoked) -> None:
+        txn = self.txns.get((revoked.line, revoked.id))
+        if txn is None and revoked.ref in self.txns_by_ref:
+            txn = self.txns_by_ref[revoked.ref]
+        if txn is not None and not txn.withdrawn:
+            txn.withdrawn = True
+            self.open_txns[txn.request.line] = self.open_txns.get(txn.request.line, 0) - (not txn.answer_kind)
+            self.record_event("revoke", txn.request.ref)
+
+    def _on_line_ended(self, ended: LineEnded) -> None:
+        nonconforming = self.nonconforming_lines.pop(ended.line, False)
+        self.open_txns.pop(ended.line, None)
+        self.line_has_sent.pop(ended.line, None)
+        for key in [key for key in self.open_health_checks if key[0] == ended.line]:
+            del self.open_health_checks[key]
+        for key in [key for key in self.txns if key[0] == ended.line]:
+            txn = self.txns.pop(key)
+            if txn.answer_kind or txn.withdrawn:
                 continue
             self.judged["one-answer"] += 1
-            if ended.by_us and not odd and not ended.stalled:
-                raise Broken("one-answer", case.ask.ref, "its connection was closed without an answer")
-            case.gone = True
-            self.note("gone", case.ask.ref)
-
-    def _line_closing(self, closing: LineClosing) -> None:
-        self.closing.add(closing.line)
-        silent = sum(not spoke for spoke in self.lines.values())
-        most = self.plan.sockets // 2  # the least that the table of callers holds
-        if closing.how is Closing.ABORT and (len(self.lines) >= most or silent >= most // 4):
-            self.cut_for_room.add(closing.line)
-
-    def _sender_ended(self, ended: SenderEnded) -> None:
+            if ended.by_us and not nonconforming and not ended.stalled:
+                raise RuleViolation(
+                    "one-answer", txn.request.ref, "its connection was closed without an answer"
+                )
+            txn.withdrawn = True
+            self.record_event("gone", txn.request.ref)
+
+    def _on_line_closing(self, closing: LineClosing) -> None:
+        self.closing_lines.add(closing.line)
+        silent_lines = sum(not has_sent for has_sent in self.line_has_sent.values())
+        min_capacity = self.plan.sockets // 2  # the least that the table of callers holds
+        if closing.how is Closing.ABORT and (
+            len(self.line_has_sent) >= min_capacity or silent_lines >= min_capacity // 4
+        ):
+            self.evicted_lines.add(closing.line)
+
+    def _on_sender_ended(self, ended: SenderEnded) -> None:
         self.judged["crossed"] += 1
         if ended.answered:
             return
-        if ended.ref in self.by_ref and ended.line in self.closing:
-            raise Broken("crossed", ended.ref, "read, and its connection ended without an answer")
+        if ended.ref in self.txns_by_ref and ended.line in self.closing_lines:
+            raise RuleViolation("crossed", ended.ref, "read, and its connection ended without an answer")
         # To make room one may be cut that never said anything whole, or that rests on after a farewell.
-        if ended.reset and not (ended.line in self.cut_for_room and (ended.warned or ended.silent)):
-            raise Broken("crossed", ended.ref, "its connection was reset over the unread request")
+        if ended.reset and not (ended.line in self.evicted_lines and (ended.warned or ended.silent)):
+            raise RuleViolation("crossed", ended.ref, "its connection was reset over the unread request")
 
     # ---- runs
 
-    def _command(self, command: Command) -> None:
+    def _on_command(self, command: Command) -> None:
         event = command.event
         if event == "OPEN":
-            self._opened(command)
+            self._on_link_open(command)
             return
         if event in ("SYSINFO", "POST"):
             if command.ticket == "fence":
-                self.note("fence", "")
+                self.record_event("fence", "")
             return
-        case = self.by_ref.get(command.handle)
-        if case is None and command.handle in self.dropped:
-            raise Broken("crossed", command.handle, f"{event}, though its connection could bear no answer")
-        if case is None:
-            raise Broken("form", command.handle, f"{event} for a txn that never came")
-        again = self._said(case, command)
-        self.note(event.lower(), command.handle)
-        if event in ("IODONE", "NOIO") and case.end and case.ended == self.turn:
+        txn = self.txns_by_ref.get(command.handle)
+        if txn is None and command.handle in self.unanswerable_refs:
+            raise RuleViolation(
+                "crossed", command.handle, f"{event}, though its connection could bear no answer"
+            )
+        if txn is None:
+            raise RuleViolation("form", command.handle, f"{event} for a txn that never came")
+        sent_before = self._record_command(txn, command)
+        self.record_event(event.lower(), command.handle)
+        if event in ("IODONE", "NOIO") and txn.fate and txn.ended_turn == self.turn:
             return  # its end was read in this very turn, and may stand behind what the command came from
         if event == "SCHED":
-            self._sched(case, command)
+            self._on_sched(txn, command)
         elif event == "IODONE":
-            self._handed_on(case, command, again)
+            self._check_delivered_reply(txn, command, sent_before)
         elif event == "NOIO":
-            self._left_out(case, command, again)
+            self._check_skipped_call(txn, command, sent_before)
         else:
-            raise Broken("form", command.handle, f"no command: {event}")
+            raise RuleViolation("form", command.handle, f"no command: {event}")
 
-    def _opened(self, command: Command) -> None:
+    def _on_link_open(self, command: Command) -> None:
         """A link to the kernel was made, and tells up to where notices were read."""
         self.judged["cursor"] += 1
-        self.note("open", "")
-        self.link = command.link  # the one that is read from now on
-        if command.cursor != self.cursor:
-            raise Broken("cursor", "", f"opened at {command.cursor}, the last notice read was {self.cursor}")
+        self.record_event("open", "")
+        self.current_link = command.link  # the one that is read from now on
+        if command.cursor != self.last_cursor:
+            raise RuleViolation(
+                "cursor", "", f"opened at {command.cursor}, the last notice read was {self.last_cursor}"
+            )
 
-    def _said(self, case: Case, command: Command) -> bool:
+    def _record_command(self, txn: TxnView, command: Command) -> bool:
         """Keeps what was said of a run on this link; True where it was said on an earlier one already."""
-        words = f"{command.event} {command.arg} {command.cursor}"
-        again = any(said == words for link, said in case.links.items() if link != command.link)
-        if case.links.get(command.link) == words:
-            raise Broken("twice", command.handle, f"{command.event} sent twice on one link")
-        case.links[command.link] = words
-        return again
-
-    def _handed_on(self, case: Case, command: Command, again: bool) -> None:
+        text = f"{command.event} {command.arg} {command.cursor}"
+        sent_before = any(sent == text for link, sent in txn.last_commands.items() if link != command.link)
+        if txn.last_commands.get(command.link) == text:
+            raise RuleViolation("twice", command.handle, f"{command.event} sent twice on one link")
+        txn.last_commands[command.link] = text
+        return sent_before
+
+    def _check_delivered_reply(self, txn: TxnView, command: Command, sent_before: bool) -> None:
         """A call's reply was handed on to its run."""
         ref = command.handle
         self.judged["reply"] += 1
-        if not again and (not case.cursor or case.reply is None):
-            raise Broken("reply", ref, "a reply was handed on, and none came for this call")
-        if case.reply is not None and base64.b64decode(command.arg) != case.reply:
-            raise Broken("unchanged", ref, "a reply was handed on changed, or to another call than its own")
-        self._go_on(case)
+        if not sent_before and (not txn.awaited_cursor or txn.good_reply is None):
+            raise RuleViolation("reply", ref, "a reply was handed on, and none came for this call")
+        if txn.good_reply is not None and base64.b64decode(command.arg) != txn.good_reply:
+            raise RuleViolation(
+                "unchanged", ref, "a reply was handed on changed, or to another call than its own"
+            )
+        self._finish_call(txn)
 
-    def _left_out(self, case: Case, command: Command, again: bool) -> None:
+    def _check_skipped_call(self, txn: TxnView, command: Command, sent_before: bool) -> None:
         """A run was told to go on without its call."""
         ref = command.handle
         self.judged["left-out"] += 1
-        if case.product.skip <= 0:
-            raise Broken("left-out", ref, "this product's calls may not be left out")
+        if txn.product.skip <= 0:
+            raise RuleViolation("left-out", ref, "this product's calls may not be left out")
         # In place of a reply that may have been lost with the link it may come later too: it names its call.
-        again = again or (
-            command.cursor == case.asked_at and any(link != command.link for link in case.links)
+        sent_before = sent_before or (
+            command.cursor == txn.last_call_cursor and any(link != command.link for link in txn.last_commands)
         )
-        if not again and command.cursor != case.cursor:
-            raise Broken("left-out", ref, f"cursor {command.cursor}, the run waits at {case.cursor}")
-        if case.reply is not None and not case.answer and not case.gone:
-            raise Broken("call-kept", ref, "a call was left out whose good reply had come")
-        self._go_on(case)
-
-    def _sched(self, case: Case, command: Command) -> None:
-        ref = case.ask.ref
+        if not sent_before and command.cursor != txn.awaited_cursor:
+            raise RuleViolation(
+                "left-out", ref, f"cursor {command.cursor}, the run waits at {txn.awaited_cursor}"
+            )
+        if txn.good_reply is not None and not txn.answer_kind and not txn.withdrawn:
+            raise RuleViolation("call-kept", ref, "a call was left out whose good reply had come")
+        self._finish_call(txn)
+
+    def _on_sched(self, txn: TxnView, command: Command) -> None:
+        ref = txn.request.ref
         self.judged["unchanged"] += 1
-        if command.entry != case.ask.product or command.arg != case.ask.doc:
-            raise Broken("unchanged", ref, "its product or body was changed on its way to the kernel")
-        if case.sched >= 0:
+        if command.entry != txn.request.product or command.arg != txn.request.doc:
+            raise RuleViolation("unchanged", ref, "its product or body was changed on its way to the kernel")
+        if txn.scheduled_at >= 0:
             return  # sent again on a new link
-        case.sched, case.sched_turn = self.now, self.turn
-        self._judge_effects(case)
-        if self.left is not None:
+        txn.scheduled_at, txn.scheduled_turn = self.now, self.turn
+        self._check_repeated_effects(txn)
+        if self.drain_noticed_at is not None:
             self.judged["grace"] += 1
             # What stood in the backlog or a buffer arrived when it was written, not when it was read.
-            if case.landed > self.left + self.plan.grace + 50 * MS and self.now - self.stepped > 3 * SECOND:
-                raise Broken(
+            if (
+                txn.sent_at > self.drain_noticed_at + self.plan.grace + 50 * MS
+                and self.now - self.clock_stepped_at > 3 * SECOND
+            ):
+                raise RuleViolation(
                     "grace",
                     ref,
-                    f"arrived {(case.landed - self.left) / MS:.0f} ms after the notice, and runs",
+                    f"arrived {(txn.sent_at - self.drain_noticed_at) / MS:.0f} ms after the notice, and runs",
                 )
-        self._on_cores(case, True)
-        self._judge_memory(always=True)
+        self._set_on_cores(txn, True)
+        self._check_memory(force=True)
 
-    def _judge_effects(self, case: Case) -> None:
-        key = case.ask.key
-        if not key or case.product.kind != "guarded":
+    def _check_repeated_effects(self, txn: TxnView) -> None:
+        key = txn.request.key
+        if not key or txn.product.kind != "guarded":
             return
         self.judged["twice"] += 1
-        others = self.keys.setdefault((case.ask.product, key), [])
+        others = self.keyed_runs.setdefault((txn.request.product, key), [])
         for other in others:
             if (
-                other.end != "void"
-                and case.landed < other.landed + case.product.window - 5 * MS
-                and max(self.now - self.stepped, 0) > 3 * SECOND
-                and case.landed >= other.landed
+                other.fate != "void"
+                and txn.sent_at < other.sent_at + txn.product.window - 5 * MS
+                and max(self.now - self.clock_stepped_at, 0) > 3 * SECOND
+                and txn.sent_at >= other.sent_at
             ):
-                raise Broken(
+                raise RuleViolation(
                     "twice",
-                    case.ask.ref,
-                    f"key {key} ran already for {other.ask.ref}, "
-                    f"{(case.landed - other.landed) / MS:.0f} ms before",
+                    txn.request.ref,
+                    f"key {key} ran already for {other.request.ref}, "
+                    f"{(txn.sent_at - other.sent_at) / MS:.0f} ms before",
                 )
-        others.append(case)
+        others.append(txn)
 
-    def _on_cores(self, case: Case, on: bool) -> None:
-        if case.on_cores != on:
-            case.on_cores = on
-            self.running += 1 if on else -1
-        if on:
+    def _set_on_cores(self, txn: TxnView, running: bool) -> None:
+        if txn.on_cores != running:
+            txn.on_cores = running
+            self.runs_on_cores += 1 if running else -1
+        if running:
             self.judged["crowd"] += 1
             plan = self.plan
             speed = 1.0
             if self.cold:
-                speed = min(1.0, 0.25 + 0.75 * (self.now - self.kernel_up) / (10 * SECOND))
-            most = (1 + 3.0 * max(speed, 0.25)) * plan.cores
-            if self.running > most:
-                raise Broken(
-                    "crowd", case.ask.ref, f"{self.running} on {plan.cores} cores, {most:.1f} are survived"
+                speed = min(1.0, 0.25 + 0.75 * (self.now - self.kernel_started_at) / (10 * SECOND))
+            max_running = (1 + 3.0 * max(speed, 0.25)) * plan.cores
+            if self.runs_on_cores > max_running:
+                raise RuleViolation(
+                    "crowd",
+                    txn.request.ref,
+                    f"{self.runs_on_cores} on {plan.cores} cores, {max_running:.1f} are survived",
                 )
 
-    def _judge_memory(self, always: bool = False) -> None:
+    def _check_memory(self, force: bool = False) -> None:
         """Held txns from a while after their landing, runs with their factor."""
-        if self.now < self.memory_check and not always:
+        if self.now < self.next_memory_check and not force:
             return
-        self.memory_check = self.now + 20 * MS
+        self.next_memory_check = self.now + 20 * MS
         self.judged["memory"] += 1
         total = 0.0
-        for case in self.by_ref.values():
-            if case.sched >= 0:
-                total += case.ask.size_kb * self.plan.run_factor * (not case.end)
-            elif not case.answer and not case.gone and self.now - case.landed > MEMORY_FROM:
+        for txn in self.txns_by_ref.values():
+            if txn.scheduled_at >= 0:
+                total += txn.request.size_kb * self.plan.run_factor * (not txn.fate)
+            elif not txn.answer_kind and not txn.withdrawn and self.now - txn.sent_at > MEMORY_COUNTED_AFTER:
                 # What came on a line that broke the protocol may never have been read.
-                total += case.ask.size_kb * (not self.odd.get(case.ask.line))
+                total += txn.request.size_kb * (not self.nonconforming_lines.get(txn.request.line))
         if total > self.plan.memory_kb:
-            raise Broken("memory", "", f"{total:.0f} KB are booked of {self.plan.memory_kb:.0f}")
+            raise RuleViolation("memory", "", f"{total:.0f} KB are booked of {self.plan.memory_kb:.0f}")
 
-    def _go_on(self, case: Case) -> None:
-        case.cursor, case.reply, case.wants = 0, None, b""
-        self._on_cores(case, True)
+    def _finish_call(self, txn: TxnView) -> None:
+        txn.awaited_cursor, txn.good_reply, txn.call_body = 0, None, b""
+        self._set_on_cores(txn, True)
 
-    def _notice(self, notice: Notice) -> None:
-        if notice.link != self.link or notice.cursor != self.cursor + 1:
+    def _on_notice(self, notice: Notice) -> None:
+        if notice.link != self.current_link or notice.cursor != self.last_cursor + 1:
             return  # of an old link, or told again
-        self.cursor = notice.cursor
-        case = self.by_ref.get(notice.handle)
-        if case is None:
+        self.last_cursor = notice.cursor
+        txn = self.txns_by_ref.get(notice.handle)
+        if txn is None:
             return
-        self.note(notice.event.lower(), notice.handle)
+        self.record_event(notice.event.lower(), notice.handle)
         if notice.event == "IOREQ":
-            case.cursor = case.asked_at = notice.cursor
-            case.wants = base64.b64decode(notice.arg)
-            case.reply, case.call_proved = None, True
-            self._on_cores(case, False)
+            txn.awaited_cursor = txn.last_call_cursor = notice.cursor
+            txn.call_body = base64.b64decode(notice.arg)
+            txn.good_reply, txn.call_repeatable = None, True
+            self._set_on_cores(txn, False)
         elif notice.event == "REAP":
-            case.end, case.result, case.ended = notice.fate, notice.arg, self.turn
-            case.cursor = 0
-            self._on_cores(case, False)
-            if notice.fate == "ok" and case.ask.key:
-                self.docs.setdefault((case.ask.product, case.ask.key), []).append(case)
+            txn.fate, txn.result, txn.ended_turn = notice.fate, notice.arg, self.turn
+            txn.awaited_cursor = 0
+            self._set_on_cores(txn, False)
+            if notice.fate == "ok" and txn.request.key:
+                self.keyed_successes.setdefault((txn.request.product, txn.request.key), []).append(txn)
 
     # ---- calls
 
-    def _call(self, call: CallMade) -> None:
-        case = self.by_ref.get(call.ref)
-        if case is None:
-            raise Broken("form", call.ref, "a call for a txn that never came")
+    def _on_call_made(self, call: CallMade) -> None:
+        txn = self.txns_by_ref.get(call.ref)
+        if txn is None:
+            raise RuleViolation("form", call.ref, "a call for a txn that never came")
         self.judged["unchanged"] += 1
-        self.note("call", call.ref)
-        if not case.cursor or call.body != case.wants:
-            if case.answer or case.end or case.gone:
+        self.record_event("call", call.ref)
+        if not txn.awaited_cursor or call.body != txn.call_body:
+            if txn.answer_kind or txn.fate or txn.withdrawn:
                 return
-            raise Broken("unchanged", call.ref, "a call that its run did not ask for")
-        if case.reply is not None and not case.answer and not case.gone:
-            raise Broken("call-kept", call.ref, "a call is made again whose good reply had come")
-        if case.product.kind != "free":
+            raise RuleViolation("unchanged", call.ref, "a call that its run did not ask for")
+        if txn.good_reply is not None and not txn.answer_kind and not txn.withdrawn:
+            raise RuleViolation("call-kept", call.ref, "a call is made again whose good reply had come")
+        if txn.product.kind != "free":
             self.judged["call-twice"] += 1
-            if not case.call_proved:
-                raise Broken("call-twice", call.ref, "made again, though the first may have had its effect")
-        case.call_proved = False
-        self.calls[call.line] = Out(case, case.cursor, self.now, call.wait_ms * MS)
-        self._judge_calls()
-
-    def _replied(self, reply: Replied) -> None:
-        out = self.calls.get(reply.line)
-        if out is None or out.replied:
+            if not txn.call_repeatable:
+                raise RuleViolation(
+                    "call-twice", call.ref, "made again, though the first may have had its effect"
+                )
+        txn.call_repeatable = False
+        self.open_calls[call.line] = OutstandingCall(txn, txn.awaited_cursor, self.now, call.wait_ms * MS)
+        self._check_call_limits()
+
+    def _on_replied(self, reply: Replied) -> None:
+        call = self.open_calls.get(reply.line)
+        if call is None or call.replied:
             return
-        out.replied = True
-        out.end = self.now
-        case = out.case
-        if case.cursor != out.cursor:
+        call.replied = True
+        call.replied_at = self.now
+        txn = call.txn
+        if txn.awaited_cursor != call.cursor:
             return
         if reply.status == 200:
-            self.note("reply", case.ask.ref)
-            case.reply = reply.body
+            self.record_event("reply", txn.request.ref)
+            txn.good_reply = reply.body
         elif reply.status in (503, 409) and reply.not_begun:
-            case.call_proved = True
+            txn.call_repeatable = True
 
-    def _call_ended(self, ended: CallEnded) -> None:
-        out = self.calls.pop(ended.line, None)
-        if out is None:
+    def _on_call_ended(self, ended: CallEnded) -> None:
+        call = self.open_calls.pop(ended.line, None)
+        if call is None:
             return
-        over = self.now - out.begun - out.wait
+        overrun = self.now - call.begun_at - call.time_limit_us
         self.judged["call-wait"] += 1
-        if not out.replied and over > self.slack and self.resumed < out.begun and not self.paused():
-            raise Broken("call-wait", out.case.ask.ref, f"given up {over / MS:.0f} ms later than it told")
-        end = out.end if out.replied else self.now + LINGER * ended.by_us
-        self.past.append((out.begun, end))
+        if (
+            not call.replied
+            and overrun > self.slack
+            and self.resumed_at < call.begun_at
+            and not self.is_paused()
+        ):
+            raise RuleViolation(
+                "call-wait", call.txn.request.ref, f"given up {overrun / MS:.0f} ms later than it told"
+            )
+        end = call.replied_at if call.replied else self.now + LINGER * ended.by_us
+        self.ended_calls.append((call.begun_at, end))
 
-    def _judge_calls(self) -> None:
+    def _check_call_limits(self) -> None:
         """Time in hand within the window past, lingering counted: its mean must stay within the own share, of
         this life and of all lives together."""
         start = self.now - self.plan.calls_over
-        while self.past and self.past[0][1] <= start:
-            self.past.popleft()
-        own = self._calls_taken(self.spans(self.now))
-        self._judge_share("call-limit", own, "calls in hand in the mean")
-        if self.earlier:
-            all_lives = own + self._calls_taken(self.earlier)
-            self._judge_share("call-limit-lives", all_lives, "calls in hand in the mean over all lives")
-
-    def spans(self, now: int, linger: int = 0) -> list[tuple[int, int]]:
+        while self.ended_calls and self.ended_calls[0][1] <= start:
+            self.ended_calls.popleft()
+        own_mean = self._mean_calls_in_hand(self.call_spans(self.now))
+        self._check_share("call-limit", own_mean, "calls in hand in the mean")
+        if self.earlier_calls:
+            all_lives_mean = own_mean + self._mean_calls_in_hand(self.earlier_calls)
+            self._check_share("call-limit-lives", all_lives_mean, "calls in hand in the mean over all lives")
+
+    def call_spans(self, now: int, linger: int = 0) -> list[tuple[int, int]]:
         """Begin and end of each call of this life, as far as the window asks; those that are out end now and
         stay in hand for `linger` microseconds more."""
-        out = [(each.begun, each.end if each.replied else now + linger) for each in self.calls.values()]
-        return [*self.past, *out]
+        outstanding = [
+            (call.begun_at, call.replied_at if call.replied else now + linger)
+            for call in self.open_calls.values()
+        ]
+        return [*self.ended_calls, *outstanding]
 
-    def _calls_taken(self, spans: Iterable[tuple[int, int]]) -> float:
+    def _mean_calls_in_hand(self, spans: Iterable[tuple[int, int]]) -> float:
         """Calls in hand in the mean over the window past."""
         start = self.now - self.plan.calls_over
-        area = sum(max(0, min(end, self.now) - max(begin, start)) for begin, end in spans)
-        return area / self.plan.calls_over
+        total_us = sum(max(0, min(end, self.now) - max(begin, start)) for begin, end in spans)
+        return total_us / self.plan.calls_over
 
-    def _judge_share(self, rule: str, taken: float, what: str) -> None:
+    def _check_share(self, rule: str, mean_calls: float, description: str) -> None:
         self.judged[rule] += 1
-        if taken > self.plan.calls_out:
-            raise Broken(rule, "", f"{taken:.2f} {what}, {self.plan.calls_out:.2f} are the share")
+        if mean_calls > self.plan.calls_out:
+            raise RuleViolation(
+                rule, "", f"{mean_calls:.2f} {description}, {self.plan.calls_out:.2f} are the share"
+            )
--- a/limeridge/sim/world.py
+++ b/limeridge/sim/world.py
@@ -25,7 +25,7 @@
 from limeridge.net.service import Instance
 from limeridge.sim.bad_callers import BadCallers
 from limeridge.sim.links import Links
-from limeridge.sim.oracles import Broken, Oracles
+from limeridge.sim.oracles import Oracles, RuleViolation
 from limeridge.sim.plan import (
     FAR,
     LEDGER_IP,
@@ -142,7 +142,7 @@
             memory_kb=plan.memory_kb,
         )
         self.kernel.misled = lambda ref: self.broke(
-            Broken("reply", ref, "the kernel took a reply for another call")
+            RuleViolation("reply", ref, "the kernel took a reply for another call")
         )
         self.kernel.speed, self.kernel.doubled = self.speed, self.doubled
         for port in KERNEL_PORTS:
@@ -261,14 +261,14 @@
     def exited(self) -> None:
         """By itself."""
         self.note("exit", "")
-        self.world.attempt(self, lambda: self.oracles.stopped(self.world.timeline.now))
+        self.world.attempt(self, lambda: self.oracles.on_process_exit(self.world.timeline.now))
         self.die(in_order=True)
 
     def die(self, in_order: bool) -> None:
         if self.instance is not None:
-            self.oracles.closed = True
+            self.oracles.process_ended = True
             now = self.world.timeline.now
-            spans = [*self.calls_before, *self.oracles.spans(now, linger=LINGER)]
+            spans = [*self.calls_before, *self.oracles.call_spans(now, linger=LINGER)]
             self.calls_before = [span for span in spans if span[1] > now - self.world.plan.calls_over]
             self.instance = None
             self.reactor.shut(in_order)
@@ -283,7 +283,7 @@
         elif not self.paused:
             self.world.timeline.resume(self.life)
             self.world.timeline.resume(self.kernel_life)
-            self.oracles.resume(self.world.timeline.now)
+            self.oracles.on_resume(self.world.timeline.now)
 
     def unix(self) -> float:
         return (UNIX + self.world.timeline.now + self.offset) / SECOND
@@ -293,8 +293,8 @@
     def see(self, event: Passed) -> None:
         try:
             self.oracles.turn = self.world.timeline.steps
-            self.oracles.see(self.world.timeline.now, event)
-        except Broken as broken:
+            self.oracles.on_event(self.world.timeline.now, event)
+        except RuleViolation as broken:
             self.broke(broken)
         self.world.bad_callers.seen(self, event)
 
@@ -311,7 +311,7 @@
             value = orjson.loads(line)
             self.world.attempt(
                 self,
-                lambda: self.oracles.logged(
+                lambda: self.oracles.on_log_line(
                     value["event"], value.get("code", ""), line.decode() + "exception"
                 ),
             )
@@ -321,7 +321,7 @@
         if self.instance is not None:
             self.instance.log_reactor_failure({"log_failure": failure})
 
-    def broke(self, broken: Broken) -> None:
+    def broke(self, broken: RuleViolation) -> None:
         self.world.broke(broken, self.name)
 
     def note(self, kind: str, ref: str) -> None:
@@ -345,7 +345,7 @@
         self.judged: Counter[str] = Counter()
         self.over: set[str] = set()  # refs answered or given up; only ever asked for members
         self.came: list[tuple[Kind, int, int]] = []
-        self.broken: tuple[Broken, str, int] | None = None
+        self.broken: tuple[RuleViolation, str, int] | None = None
         self.trouble = self.chance("trouble")
         self.bad_callers = BadCallers(self, self.chance("bad callers"))
         self.last_heal = BEGIN + plan.quiet
@@ -366,7 +366,7 @@
         if self.record is not None:
             self.record(self.timeline.steps, self.timeline.now - BEGIN, who, kind, ref)
 
-    def broke(self, broken: Broken, who: str) -> None:
+    def broke(self, broken: RuleViolation, who: str) -> None:
         if self.broken is None:
             self.broken = broken, who, self.timeline.now - BEGIN
 
@@ -374,7 +374,7 @@
         """Oracles are called in the middle of an instance's code, which must not catch what they raise."""
         try:
             judge()
-        except Broken as broken:
+        except RuleViolation as broken:
             self.broke(broken, machine.name)
 
     def broken_standin(self, failure: Failure) -> None:
@@ -383,7 +383,7 @@
     def observed(self, event: Any) -> None:
         failure = event.get("log_failure")
         if failure is not None:
-            self.broke(Broken("exception", "", failure.getTraceback()[-1_500:]), "?")
+            self.broke(RuleViolation("exception", "", failure.getTraceback()[-1_500:]), "?")
 
     def fault(self, life: Life | None, failure: Failure) -> None:
         machine = next((each for each in self.machines if each.life is life and life is not None), None)
@@ -432,7 +432,9 @@
             self.judged["limit"] += 1
             if count > fleet.limit:
                 self.broke(
-                    Broken("limit", "", f"{count} calls in the ledger's hands, the limit is {fleet.limit}"),
+                    RuleViolation(
+                        "limit", "", f"{count} calls in the ledger's hands, the limit is {fleet.limit}"
+                    ),
                     "?",
                 )
 
@@ -552,7 +554,7 @@
             return False
         machine.left = True
         machine.signal(SIGTERM)
-        machine.oracles.leave(self.timeline.now)
+        machine.oracles.on_drain_notice(self.timeline.now)
         life = machine.lives
         kill_at = self.timeline.now + self.plan.stop
         self.last_heal = max(self.last_heal, kill_at + self.plan.boot)
@@ -725,7 +727,7 @@
         machine = self.machine(fault)
         machine.offset += int(fault.amount * SECOND)
         if machine.instance is not None:
-            machine.oracles.step_clock(self.timeline.now)
+            machine.oracles.on_clock_step(self.timeline.now)
         return None
 
     def _caller_restart(self, fault: Fault) -> Any:
@@ -893,10 +895,12 @@
                 looked = timeline.now
                 for machine in self.machines:
                     if machine.instance is not None:
-                        self.attempt(machine, partial(machine.oracles.passed, looked))
+                        self.attempt(machine, partial(machine.oracles.on_time_advance, looked))
             if timeline.on_tick > TICK_MOST or timeline.steps > STEPS_MOST:
                 self.broke(
-                    Broken("livelock", "", f"{timeline.on_tick} steps on one tick, {timeline.steps} in all"),
+                    RuleViolation(
+                        "livelock", "", f"{timeline.on_tick} steps on one tick, {timeline.steps} in all"
+                    ),
                     "?",
                 )
         return False
@@ -915,7 +919,9 @@
         timeline = self.timeline
         if not self.wait(END_WAIT, lambda: not any(case.state == "open" for case in self.cases)):
             open_cases = sum(case.state == "open" for case in self.cases)
-            self.broke(Broken("heals", "", f"{open_cases} clients still wait after the quiet point"), "?")
+            self.broke(
+                RuleViolation("heals", "", f"{open_cases} clients still wait after the quiet point"), "?"
+            )
             return
         probe = Stub(
             self.probe_reactor,
@@ -939,7 +945,9 @@
             states = [case.state for of, case in cases if of is machine]
             if "settled" not in states:
                 self.broke(
-                    Broken("heals", "", f"two easy txns of {machine.name} came to {', '.join(states)}"),
+                    RuleViolation(
+                        "heals", "", f"two easy txns of {machine.name} came to {', '.join(states)}"
+                    ),
                     machine.name,
                 )
                 return
@@ -950,23 +958,23 @@
         # missing.
         if not self.wait(REPORTED, lambda: not self.missing()) and self.broken is None:
             missing = self.missing()
-            self.broke(Broken("heals", "", f"not on the node list: {', '.join(missing)}"), missing[0])
+            self.broke(RuleViolation("heals", "", f"not on the node list: {', '.join(missing)}"), missing[0])
         self.judged["left-over"] += 1
         if not self.wait(SECOND, lambda: not any(self.left_over(machine) for machine in self.machines)):
             for machine in self.machines:
                 if left := self.left_over(machine):
-                    self.broke(Broken("left-over", "", left), machine.name)
+                    self.broke(RuleViolation("left-over", "", left), machine.name)
 
     def judge_members(self) -> None:
         """All know each other again, and the limit is in use."""
         for rule, lacks in (("known", self.strange), ("in-use", self.unused)):
             self.judged[rule] += 1
             if not self.wait(KNOWN, lambda lacks=lacks: not lacks()) and self.broken is None:  # type: ignore[misc]
-                self.broke(Broken(rule, "", lacks()), "?")
+                self.broke(RuleViolation(rule, "", lacks()), "?")
         self.judged["datagram"] += 1
         for machine in self.machines:
             if machine.link.counts["too-long"]:
-                self.broke(Broken("datagram", "", "a datagram was too long to be sent"), machine.name)
+                self.broke(RuleViolation("datagram", "", "a datagram was too long to be sent"), machine.name)
 
     def strange(self) -> str:
         """Who does not hold all present in the lives that they have, in words."""
@@ -1055,7 +1063,7 @@
             outcome.rule, outcome.ref, outcome.what, outcome.who, outcome.at = (
                 broken.rule,
                 broken.ref,
-                broken.what,
+                broken.detail,
                 who,
                 at,
             )
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -20,7 +20,7 @@
 from limeridge.sim import corpus, mutants, trace
 from limeridge.sim.explore import Coverage, explore, run_plan, run_seed, shrink
 from limeridge.sim.links import Links, Weather
-from limeridge.sim.oracles import RULES, Broken, Oracles
+from limeridge.sim.oracles import RULES, Oracles, RuleViolation
 from limeridge.sim.plan import Fault, Kind, Plan, Product, Ranges, draw, from_json, to_json
 from limeridge.sim.reactor import Closing, Network, Reactor
 from limeridge.sim.scenario import named, names
@@ -457,11 +457,11 @@
 
     def see(self, event: Any) -> None:
         self.oracles.turn += 1
-        self.oracles.see(self.now, event)
+        self.oracles.on_event(self.now, event)
 
     def go(self, us: int) -> None:
         self.now += us
-        self.oracles.passed(self.now)
+        self.oracles.on_time_advance(self.now)
 
     def ask(self, number: int, product: str = "look", key: str = "", **more: Any) -> str:
         ref = f"{number:016x}"
@@ -494,7 +494,7 @@
 
     def breaks(self, rule: str, *last: Any) -> None:
         call, *args = last
-        with pytest.raises(Broken) as broken:
+        with pytest.raises(RuleViolation) as broken:
             call(*args)
         assert broken.value.rule == rule and rule in RULES
 
@@ -508,7 +508,7 @@
     book.is_paused = True
     book.go(1_500_000)  # a machine that stands still owes nothing yet
     book.is_paused = False
-    book.oracles.resume(book.now)
+    book.oracles.on_resume(book.now)
     book.go(50_000)
     book.breaks("due", book.go, 100_000)
     book = Book()
@@ -536,7 +536,7 @@
     book.run(ref, "pay")
     book.breaks("unsaid", book.answer, 4, "declined")
     book.ask(5)
-    book.breaks("stop", book.oracles.stopped, book.now)
+    book.breaks("stop", book.oracles.on_process_exit, book.now)
 
 
 def test_oracles_of_runs_and_calls() -> None:
@@ -548,7 +548,7 @@
     one, two = book.ask(1, "book", "k"), book.ask(2, "book", "k")
     book.run(one, "book")
     book.go(5 * SECOND // 10)
-    book.oracles.stepped = -10 * SECOND
+    book.oracles.clock_stepped_at = -10 * SECOND
     book.breaks("twice", book.run, two, "book")
     book = Book()
     ref = book.ask(1, "pay")
@@ -575,7 +575,7 @@
     def owned() -> Book:
         """A book with a keyed request that ended well, and whose result is kept."""
         book = Book()
-        book.oracles.stepped = -10 * SECOND
+        book.oracles.clock_stepped_at = -10 * SECOND
         owner = book.ask(1, "book", "k", customer="c0")
         book.run(owner, "book")
         book.note("REAP", owner, "ok", "cmVz")
@@ -634,8 +634,8 @@
 
 def test_oracles_of_the_drain_and_of_what_a_server_survives() -> None:
     book = Book()
-    book.oracles.stepped = -10 * SECOND
-    book.oracles.leave(book.now)
+    book.oracles.clock_stepped_at = -10 * SECOND
+    book.oracles.on_drain_notice(book.now)
     book.go(240_000)
     book.run(book.ask(1))  # just on the way when the grace ended
     book.go(100_000)
@@ -663,7 +663,7 @@
     book.breaks("call-limit", book.see, CallMade(4, ref, 2_000, b"call"))
     for earlier in ((), [(BEGIN - SECOND, BEGIN)] * 2):  # calls in hand of the life before, in all the window
         book = Book()
-        book.oracles.earlier = tuple(earlier)
+        book.oracles.earlier_calls = tuple(earlier)
         for number in range(1, 5):
             ref = book.ask(number)
             book.run(ref)
