--- a/limeridge/sim/oracles.py
+++ b/limeridge/sim/oracles.py
@@ -1,8 +1,8 @@
-"""The rules, judged after every step from what passed on an instance's wires.
+"""The test oracles: rules checked after every step against the traffic on an instance's connections.
 
-It owns a book of its own of each txn, run and call, and the time limits of what is owed. It must never read
-an instance's tables or use its code: a defect there must not be able to hide itself. What a rule does not ask
-is not judged: a broken rule is a defect, never a matter of taste.
+The oracles keep their own record of each txn, run and call, and of the deadlines of pending answers. They
+never read an instance's tables or use its code, so that a defect there can't hide itself. They check only
+what a rule requires: every violation is a defect.
 """
 
 from __future__ import annotations
@@ -40,49 +40,49 @@
 )
 
 MS = 1_000
-HEALTH_CHECK_TIMEOUT = 700 * MS  # that a health check may take: a deep one asks the kernel for half a second
-MEMORY_COUNTED_AFTER = 100 * MS  # after it was written that a held txn counts
-MIN_TIME_FOR_REPEAT = 100 * MS  # left to its due time, with which a repeat must get its key's result
-MAX_OPEN_TXNS = 32  # txns open on a connection
+HEALTH_CHECK_TIMEOUT = 700 * MS  # a deep health check queries the kernel for up to 500 ms
+MEMORY_COUNTED_AFTER = 100 * MS  # from sending until a queued txn counts towards memory
+MIN_TIME_FOR_REPEAT = 100 * MS  # a repeat with less time left need not get its key's result
+MAX_OPEN_TXNS = 32  # per connection
 RULES = {
-    "one-answer": "exactly one final answer a txn",
+    "one-answer": "exactly one final answer per txn",
     "due": "answered by the due time",
-    "grace": "nothing runs that arrived after the grace",
-    "stop": "all that was read is answered before the stop",
-    "twice": "nothing that may have an effect is run twice",
-    "call-twice": "no call is repeated that may have had one",
-    "unsaid": "a txn that ran is not told as one that never did",
-    "result": "a result is its own txn's, unchanged",
-    "key-copied": "under a key that stands for another body or tenant nothing is had but an error",
-    "key-kept": "the repeat of a keyed request that ended well gets its result",
-    "crossed": "a request that crosses its connection's end is answered, or never runs and sees no reset",
-    "kept-back": "what ended well is answered with its result",
-    "call-limit": "calls in hand within the own share",
-    "call-limit-lives": "calls in hand of all lives of an instance together within its share",
-    "memory": "memory as it is booked",
-    "crowd": "runs on the cores within what is survived",
-    "unchanged": "bodies and replies reach the other end as they came",
-    "reply": "a reply goes to its own call",
-    "cursor": "notices are read on where they were left",
-    "left-out": "a call is left out only where it may be",
-    "call-kept": "a good reply is used",
-    "call-wait": "a call is waited for no longer than it told",
-    "form": "what is written is of the protocol",
-    "exception": "no exception in any txn's path",
-    "guard": "nothing is forgotten until the guard finds it",
+    "grace": "no txn runs that arrived after the drain grace period",
+    "stop": "every txn that was read is answered before the process stops",
+    "twice": "no txn that may have an effect is run twice",
+    "call-twice": "no call that may have had an effect is repeated",
+    "unsaid": "a txn that ran is not declined as never started",
+    "result": "a txn is settled with its own result, unchanged",
+    "key-copied": "a key held for another body or tenant gives only an error",
+    "key-kept": "the repeat of a keyed request that succeeded gets its result",
+    "crossed": "a request sent while its connection closes is answered, or neither runs nor is reset",
+    "kept-back": "a txn whose run succeeded is answered with its result",
+    "call-limit": "outstanding calls stay within the instance's share",
+    "call-limit-lives": "outstanding calls stay within the share across restarts of an instance",
+    "memory": "memory of queued and running txns stays within the limit",
+    "crowd": "concurrent runs stay below the overload limit of the cores",
+    "unchanged": "bodies and replies are forwarded unchanged",
+    "reply": "a reply is delivered to its own call",
+    "cursor": "a new kernel link resumes after the last notice read",
+    "left-out": "a call is skipped only where that is allowed",
+    "call-kept": "a successful reply is used",
+    "call-wait": "a call is abandoned within its announced time limit",
+    "form": "all output conforms to the protocol",
+    "exception": "no exception is logged",
+    "guard": "no txn is left to the overdue guard",
     "health": "health checks are answered",
-    "livelock": "time goes on",
-    "limit": "calls in the ledger's hands within the fleet's limit",
+    "livelock": "virtual time advances",
+    "limit": "calls at the ledger stay within the fleet's limit",
     "known": "after the quiet point all members know each other",
-    "in-use": "after the quiet point the limit is dealt out again",
-    "datagram": "no datagram is over its bound",
-    "heals": "after the quiet point all is served again",
-    "left-over": "nothing is left in any table",
+    "in-use": "after the quiet point the whole limit is allotted again",
+    "datagram": "no datagram exceeds its size limit",
+    "heals": "after the quiet point every instance serves again",
+    "left-over": "all tables are empty at the end",
 }
 
 
 class RuleViolation(Exception):
-    """A rule was broken: its name, the txn if there is one, and what was seen."""
+    """A rule was violated: the rule's name, the ref of the txn (empty if none) and the observation."""
 
     def __init__(self, rule: str, ref: str, detail: str) -> None:
         super().__init__(f"{rule}: {detail}" + (f" (txn {ref})" if ref else ""))
@@ -91,7 +91,7 @@
 
 @dataclass(slots=True, eq=False)
 class TxnView:
-    """A txn as the wires showed it."""
+    """The state of a txn as derived from the traffic. Times in virtual microseconds."""
 
     request: Asked
     product: Product
@@ -100,29 +100,29 @@
     due_at: int
     answer_kind: str = ""
     withdrawn: bool = False
-    late_answers: int = 0  # answers after the caller was gone, of which one does no harm
+    late_answers: int = 0  # answers after it was revoked or its connection ended; one is allowed
     scheduled_at: int = -1
     scheduled_turn: int = 0
-    last_commands: dict[int, str] = field(default_factory=dict)  # the last command for it on each link
+    last_commands: dict[int, str] = field(default_factory=dict)  # by link
     fate: str = ""
-    ended_turn: int = -1  # the turn in which its end was read
+    ended_turn: int = -1  # the loop turn in which its REAP notice was read
     result: str = ""
     on_cores: bool = False
-    awaited_cursor: int = 0  # of the call that it waits for
-    last_call_cursor: int = 0  # the cursor of its last call
+    awaited_cursor: int = 0  # of the call that the run waits for; 0 if none
+    last_call_cursor: int = 0
     call_body: bytes = b""
-    good_reply: bytes | None = None  # a good one that came for this call
-    call_repeatable: bool = True  # no call for this cursor can have had an effect
+    good_reply: bytes | None = None  # to the awaited call
+    call_repeatable: bool = True  # whether no call for this cursor can have had an effect
     answered_as_run: bool = False
-    read_turn: int = 0  # in which it was read
+    read_turn: int = 0  # the loop turn in which it was read
 
     def same_request(self, other: TxnView) -> bool:
-        """Whether both are of one body and one tenant, as repeats under a key are."""
+        """Whether both have the same body and tenant, as repeats under a key do."""
         return (self.request.doc, self.request.customer) == (other.request.doc, other.request.customer)
 
     def certainly_held_key_when_read(self, other: TxnView) -> bool:
-        """Whether it certainly stood for its key when `other` was read: it was running or had run, within
-        its window."""
+        """Whether this txn certainly held its key when `other` was read: it had been started, was not void
+        and was still within the key's window."""
         return (
             self.fate != "void"
             and self.scheduled_turn < other.read_turn
@@ -132,7 +132,7 @@
 
 @dataclass(slots=True, eq=False)
 class OutstandingCall:
-    """A call in hand."""
+    """A call to the ledger whose connection has not ended."""
 
     txn: TxnView
     cursor: int
@@ -143,7 +143,11 @@
 
 
 class Oracles:
-    """The rules for one life of an instance. `note` hears of each event with its txn, for the trace."""
+    """The rules for one process lifetime of an instance.
+
+    `record_event` receives each event's kind and txn ref for the trace. `judged` counts how often each rule
+    was checked. `earlier_calls` holds the begin and end of calls made by previous processes of the instance.
+    """
 
     def __init__(
         self,
@@ -155,9 +159,7 @@
         judged: Counter[str],
         kernel_started_at: int,
         cold: bool,
-        earlier_calls: Sequence[
-            tuple[int, int]
-        ] = (),  # begins and ends of the calls of lives before this one
+        earlier_calls: Sequence[tuple[int, int]] = (),
     ) -> None:
         self.plan, self.started_at, self.unix_offset, self.is_paused, self.record_event = (
             plan,
@@ -171,20 +173,20 @@
         self.products = {product.name: product for product in plan.products}
         self.slack = 60 * MS + 4 * plan.quantum
         self.now = started_at
-        self.turn = 0  # of the loop, as the world counts
+        self.turn = 0  # of the event loop, set by the world
         self.txns: dict[tuple[int, int], TxnView] = {}
         self.txns_by_ref: dict[str, TxnView] = {}
-        self.nonconforming_lines: dict[int, bool] = {}  # lines that sent what can't be served
-        self.open_txns: dict[int, int] = {}  # txns open on a line
+        self.nonconforming_lines: dict[int, bool] = {}  # that sent invalid messages
+        self.open_txns: dict[int, int] = {}  # by line
         self.due_queue: list[tuple[int, int, TxnView]] = []
         self.open_health_checks: dict[tuple[int, int], int] = {}
         self.due_serial = 0
-        self.resumed_at = -SECOND  # when the machine last went on after a pause
-        self.clock_stepped_at = -SECOND  # when its Unix time last stepped
+        self.resumed_at = -SECOND  # end of the last pause
+        self.clock_stepped_at = -SECOND  # last step of the Unix time
         self.drain_noticed_at: int | None = None
         self.drain_notice_held = False
         self.keyed_runs: dict[tuple[str, str], list[TxnView]] = {}
-        self.keyed_successes: dict[tuple[str, str], list[TxnView]] = {}  # ended well, by key
+        self.keyed_successes: dict[tuple[str, str], list[TxnView]] = {}  # whose run succeeded
         self.current_link, self.last_cursor = -1, 0
         self.runs_on_cores = 0
         self.next_memory_check = started_at
@@ -192,12 +194,12 @@
         self.ended_calls: deque[tuple[int, int]] = deque()
         self.earlier_calls = tuple(earlier_calls)
         self.process_ended = False
-        self.line_has_sent: dict[int, bool] = {}  # open ones of callers: whether it sent a request or a check
-        self.closing_lines: set[int] = set()  # lines whose end the instance asked for
+        self.line_has_sent: dict[int, bool] = {}  # open lines: whether a request or health check came
+        self.closing_lines: set[int] = set()  # that the instance is closing
         self.evicted_lines: set[int] = set()
-        self.unanswerable_refs: set[str] = set()  # requests read behind the instance's own end of the stream
+        self.unanswerable_refs: set[str] = set()  # read after the instance closed its sending side
 
-    # ---- the world's own events
+    # ---- events reported by the world
 
     def on_resume(self, now: int) -> None:
         self.resumed_at = now
@@ -209,18 +211,16 @@
 
     def on_drain_notice(self, now: int) -> None:
         if self.drain_noticed_at is None:
-            self.drain_noticed_at, self.drain_notice_held = (
-                now,
-                self.is_paused(),
-            )  # in a pause it hears of the notice at its end
+            # A paused instance receives the notice when the pause ends.
+            self.drain_noticed_at, self.drain_notice_held = now, self.is_paused()
 
     def on_process_exit(self, now: int) -> None:
-        """The process ended by itself."""
+        """The process ended without being killed."""
         self.process_ended = True
         self.judged["stop"] += 1
         for txn in self.txns.values():
             if not txn.answer_kind and not txn.withdrawn:
-                raise RuleViolation("stop", txn.request.ref, "read, and not answered when the process ended")
+                raise RuleViolation("stop", txn.request.ref, "read but not answered when the process ended")
 
     def on_log_line(self, event: str, code: str, text: str) -> None:
         if "exception" in text and '"trace"' in text:
@@ -229,7 +229,7 @@
             raise RuleViolation("guard", "", text[:300])
 
     def on_time_advance(self, now: int) -> None:
-        """Time went on."""
+        """Checks the deadlines that have passed by `now`."""
         self.now = now
         due_queue = self.due_queue
         while due_queue and due_queue[0][0] < now:
@@ -246,14 +246,14 @@
             oldest = next(iter(self.open_health_checks.items()))
             if oldest[1] + HEALTH_CHECK_TIMEOUT < now:
                 raise RuleViolation(
-                    "health", "", f"a health check not answered for {(now - oldest[1]) / MS:.0f} ms"
+                    "health", "", f"health check not answered for {(now - oldest[1]) / MS:.0f} ms"
                 )
 
     def _schedule_due_check(self, txn: TxnView, at: int) -> None:
         self.due_serial += 1
         heapq.heappush(self.due_queue, (at, self.due_serial, txn))
 
-    # ---- the wires
+    # ---- traffic
 
     def on_event(self, now: int, event: Passed) -> None:
         self.now = now
@@ -302,7 +302,7 @@
         now, product = self.now, self.products[request.product]
         self.line_has_sent[request.line] = True
         if request.ref in self.txns_by_ref or (request.line, request.id) in self.txns:
-            self.nonconforming_lines[request.line] = True  # an id or ref used again: no usual caller
+            self.nonconforming_lines[request.line] = True  # reuses an id or ref, which no valid caller does
             return
         self.open_txns[request.line] = self.open_txns.get(request.line, 0) + 1
         if self.open_txns[request.line] > MAX_OPEN_TXNS:
@@ -310,7 +310,7 @@
         sent_at = request.landed_ms * MS - self.unix_offset()
         time_limit = int(request.patience * MS)
         due = min(now + time_limit, sent_at + time_limit + MS)
-        if now - self.clock_stepped_at < 3 * SECOND:  # its age can't be known
+        if now - self.clock_stepped_at < 3 * SECOND:  # its age is unknown
             due = now + time_limit
         txn = TxnView(request, product, now, min(sent_at, now), max(due, now), read_turn=self.turn)
         self.txns[request.line, request.id] = self.txns_by_ref[request.ref] = txn
@@ -326,19 +326,19 @@
             raise RuleViolation("form", "", f"a value of {answer.value}")
         if answer.kind == "health":
             if self.open_health_checks.pop((answer.line, answer.id or 0), None) is None:
-                raise RuleViolation("health", "", "an answer to no health check")
+                raise RuleViolation("health", "", "answer without a health check")
             self.judged["health"] += 1
             return
         txn = self.txns.get((answer.line, answer.id or 0))
         if txn is None:
             if not self.nonconforming_lines.get(answer.line):
-                raise RuleViolation("one-answer", "", f"an answer to id {answer.id}, which asked nothing")
+                raise RuleViolation("one-answer", "", f"answer to id {answer.id}, which sent no request")
             return
         ref = txn.request.ref
         self.judged["one-answer"] += 1
         if txn.answer_kind or (txn.withdrawn and txn.late_answers):
             raise RuleViolation(
-                "one-answer", ref, f"{answer.kind} after {txn.answer_kind or 'gone and answered'}"
+                "one-answer", ref, f"{answer.kind} after {txn.answer_kind or 'withdrawal and another answer'}"
             )
         if txn.withdrawn:
             txn.late_answers = 1
@@ -346,18 +346,18 @@
         self.open_txns[answer.line] = self.open_txns.get(answer.line, 0) - (not txn.withdrawn)
         self.record_event(answer.kind, ref)
         if answer.come_back < 0 or answer.come_back > 1_000:
-            raise RuleViolation("form", ref, f"told to come back after {answer.come_back} ms")
+            raise RuleViolation("form", ref, f"retry delay of {answer.come_back} ms is not within 0 to 1000")
         self._check_key(txn, answer.kind)
         if answer.kind == "settled":
             self._check_result(txn, answer.doc)
         else:
-            # What was read in this very turn may stand behind what the answer came from.
+            # A REAP notice read in this turn may have come in after the answer was decided.
             if txn.fate == "ok" and not txn.withdrawn and txn.ended_turn < self.turn:
-                raise RuleViolation("kept-back", ref, f"its run ended well, and it was {answer.kind}")
+                raise RuleViolation("kept-back", ref, f"{answer.kind} although its run succeeded")
             if answer.kind == "declined" and txn.product.kind != "free":
                 self.judged["unsaid"] += 1
                 if txn.scheduled_at >= 0 and txn.fate != "void":
-                    raise RuleViolation("unsaid", ref, "declined after it was started")
+                    raise RuleViolation("unsaid", ref, "declined although it was started")
 
     def _check_result(self, txn: TxnView, doc: str) -> None:
         self.judged["result"] += 1
@@ -371,11 +371,12 @@
                 raise RuleViolation(
                     "key-copied", txn.request.ref, "settled with the result of another body or tenant"
                 )
-        raise RuleViolation("result", txn.request.ref, f"settled with {doc[:60]!r}, which no run of it gave")
+        raise RuleViolation(
+            "result", txn.request.ref, f"settled with {doc[:60]!r}, which none of its runs returned"
+        )
 
     def _check_key(self, txn: TxnView, kind: str) -> None:
-        """What a key is worth to its own request and to others; by those that certainly held it when this
-        one was read."""
+        """Checks the answer against the requests that certainly held the txn's key when the txn was read."""
         if not txn.request.key or txn.withdrawn or self.now - self.clock_stepped_at < 3 * SECOND:
             return
         holders = [
@@ -387,7 +388,7 @@
             self.judged["key-copied"] += 1
             if kind != "voided":
                 raise RuleViolation(
-                    "key-copied", txn.request.ref, f"{kind} under a key that another request holds"
+                    "key-copied", txn.request.ref, f"{kind} under a key held by a different request"
                 )
         elif any(other.fate == "ok" and other.ended_turn < txn.read_turn for other in holders):
             if self.drain_noticed_at is not None or txn.due_at < self.now + MIN_TIME_FOR_REPEAT:
@@ -395,7 +396,7 @@
             self.judged["key-kept"] += 1
             if kind != "settled":
                 raise RuleViolation(
-                    "key-kept", txn.request.ref, f"{kind}, and the result of its key was kept"
+                    "key-kept", txn.request.ref, f"{kind} although its key has a stored result"
                 )
 
     def _on_revoked(self, revoked: Revoked) -> None:
@@ -428,7 +429,7 @@
     def _on_line_closing(self, closing: LineClosing) -> None:
         self.closing_lines.add(closing.line)
         silent_lines = sum(not has_sent for has_sent in self.line_has_sent.values())
-        min_capacity = self.plan.sockets // 2  # the least that the table of callers holds
+        min_capacity = self.plan.sockets // 2  # lower bound of the connection table's capacity
         if closing.how is Closing.ABORT and (
             len(self.line_has_sent) >= min_capacity or silent_lines >= min_capacity // 4
         ):
@@ -439,8 +440,8 @@
         if ended.answered:
             return
         if ended.ref in self.txns_by_ref and ended.line in self.closing_lines:
-            raise RuleViolation("crossed", ended.ref, "read, and its connection ended without an answer")
-        # To make room one may be cut that never said anything whole, or that rests on after a farewell.
+            raise RuleViolation("crossed", ended.ref, "read, but its connection ended without an answer")
+        # To make room, a line may be reset that never sent a whole message or stays idle after a farewell.
         if ended.reset and not (ended.line in self.evicted_lines and (ended.warned or ended.silent)):
             raise RuleViolation("crossed", ended.ref, "its connection was reset over the unread request")
 
@@ -458,14 +459,14 @@
         txn = self.txns_by_ref.get(command.handle)
         if txn is None and command.handle in self.unanswerable_refs:
             raise RuleViolation(
-                "crossed", command.handle, f"{event}, though its connection could bear no answer"
+                "crossed", command.handle, f"{event} although its connection could carry no answer"
             )
         if txn is None:
-            raise RuleViolation("form", command.handle, f"{event} for a txn that never came")
+            raise RuleViolation("form", command.handle, f"{event} for an unknown txn")
         sent_before = self._record_command(txn, command)
         self.record_event(event.lower(), command.handle)
         if event in ("IODONE", "NOIO") and txn.fate and txn.ended_turn == self.turn:
-            return  # its end was read in this very turn, and may stand behind what the command came from
+            return  # the REAP notice read in this turn may have come in after the command was decided
         if event == "SCHED":
             self._on_sched(txn, command)
         elif event == "IODONE":
@@ -473,20 +474,20 @@
         elif event == "NOIO":
             self._check_skipped_call(txn, command, sent_before)
         else:
-            raise RuleViolation("form", command.handle, f"no command: {event}")
+            raise RuleViolation("form", command.handle, f"unknown command {event}")
 
     def _on_link_open(self, command: Command) -> None:
-        """A link to the kernel was made, and tells up to where notices were read."""
+        """Checks that a new link to the kernel resumes after the last notice read."""
         self.judged["cursor"] += 1
         self.record_event("open", "")
-        self.current_link = command.link  # the one that is read from now on
+        self.current_link = command.link  # notices on older links are ignored
         if command.cursor != self.last_cursor:
             raise RuleViolation(
-                "cursor", "", f"opened at {command.cursor}, the last notice read was {self.last_cursor}"
+                "cursor", "", f"link opened at {command.cursor}, last notice read was {self.last_cursor}"
             )
 
     def _record_command(self, txn: TxnView, command: Command) -> bool:
-        """Keeps what was said of a run on this link; True where it was said on an earlier one already."""
+        """Stores the command as the last one on its link; returns whether an earlier link carried it too."""
         text = f"{command.event} {command.arg} {command.cursor}"
         sent_before = any(sent == text for link, sent in txn.last_commands.items() if link != command.link)
         if txn.last_commands.get(command.link) == text:
@@ -495,47 +496,45 @@
         return sent_before
 
     def _check_delivered_reply(self, txn: TxnView, command: Command, sent_before: bool) -> None:
-        """A call's reply was handed on to its run."""
+        """Checks a reply that is delivered to its run."""
         ref = command.handle
         self.judged["reply"] += 1
         if not sent_before and (not txn.awaited_cursor or txn.good_reply is None):
-            raise RuleViolation("reply", ref, "a reply was handed on, and none came for this call")
+            raise RuleViolation("reply", ref, "reply delivered, but none arrived for this call")
         if txn.good_reply is not None and base64.b64decode(command.arg) != txn.good_reply:
-            raise RuleViolation(
-                "unchanged", ref, "a reply was handed on changed, or to another call than its own"
-            )
+            raise RuleViolation("unchanged", ref, "reply was changed or delivered to the wrong call")
         self._finish_call(txn)
 
     def _check_skipped_call(self, txn: TxnView, command: Command, sent_before: bool) -> None:
-        """A run was told to go on without its call."""
+        """Checks a command that lets a run continue without its call."""
         ref = command.handle
         self.judged["left-out"] += 1
         if txn.product.skip <= 0:
-            raise RuleViolation("left-out", ref, "this product's calls may not be left out")
-        # In place of a reply that may have been lost with the link it may come later too: it names its call.
+            raise RuleViolation("left-out", ref, "this product's calls may not be skipped")
+        # May also replace a reply that was lost with an earlier link: the cursor identifies the call.
         sent_before = sent_before or (
             command.cursor == txn.last_call_cursor and any(link != command.link for link in txn.last_commands)
         )
         if not sent_before and command.cursor != txn.awaited_cursor:
             raise RuleViolation(
-                "left-out", ref, f"cursor {command.cursor}, the run waits at {txn.awaited_cursor}"
+                "left-out", ref, f"cursor {command.cursor}, but the run waits at {txn.awaited_cursor}"
             )
         if txn.good_reply is not None and not txn.answer_kind and not txn.withdrawn:
-            raise RuleViolation("call-kept", ref, "a call was left out whose good reply had come")
+            raise RuleViolation("call-kept", ref, "call skipped although its successful reply had arrived")
         self._finish_call(txn)
 
     def _on_sched(self, txn: TxnView, command: Command) -> None:
         ref = txn.request.ref
         self.judged["unchanged"] += 1
         if command.entry != txn.request.product or command.arg != txn.request.doc:
-            raise RuleViolation("unchanged", ref, "its product or body was changed on its way to the kernel")
+            raise RuleViolation("unchanged", ref, "product or body was changed on the way to the kernel")
         if txn.scheduled_at >= 0:
-            return  # sent again on a new link
+            return  # resent on a new link
         txn.scheduled_at, txn.scheduled_turn = self.now, self.turn
         self._check_repeated_effects(txn)
         if self.drain_noticed_at is not None:
             self.judged["grace"] += 1
-            # What stood in the backlog or a buffer arrived when it was written, not when it was read.
+            # A request that waited in the backlog or a buffer counts from when it was sent, not read.
             if (
                 txn.sent_at > self.drain_noticed_at + self.plan.grace + 50 * MS
                 and self.now - self.clock_stepped_at > 3 * SECOND
@@ -543,7 +542,7 @@
                 raise RuleViolation(
                     "grace",
                     ref,
-                    f"arrived {(txn.sent_at - self.drain_noticed_at) / MS:.0f} ms after the notice, and runs",
+                    f"started, arrived {(txn.sent_at - self.drain_noticed_at) / MS:.0f} ms after the notice",
                 )
         self._set_on_cores(txn, True)
         self._check_memory(force=True)
@@ -564,8 +563,8 @@
                 raise RuleViolation(
                     "twice",
                     txn.request.ref,
-                    f"key {key} ran already for {other.request.ref}, "
-                    f"{(txn.sent_at - other.sent_at) / MS:.0f} ms before",
+                    f"key {key} already ran for {other.request.ref}, "
+                    f"{(txn.sent_at - other.sent_at) / MS:.0f} ms earlier",
                 )
         others.append(txn)
 
@@ -584,11 +583,11 @@
                 raise RuleViolation(
                     "crowd",
                     txn.request.ref,
-                    f"{self.runs_on_cores} on {plan.cores} cores, {max_running:.1f} are survived",
+                    f"{self.runs_on_cores} runs on {plan.cores} cores, limit {max_running:.1f}",
                 )
 
     def _check_memory(self, force: bool = False) -> None:
-        """Held txns from a while after their landing, runs with their factor."""
+        """Counts queued txns after MEMORY_COUNTED_AFTER, and runs at `run_factor` times their size."""
         if self.now < self.next_memory_check and not force:
             return
         self.next_memory_check = self.now + 20 * MS
@@ -598,10 +597,10 @@
             if txn.scheduled_at >= 0:
                 total += txn.request.size_kb * self.plan.run_factor * (not txn.fate)
             elif not txn.answer_kind and not txn.withdrawn and self.now - txn.sent_at > MEMORY_COUNTED_AFTER:
-                # What came on a line that broke the protocol may never have been read.
+                # A request on a line that violated the protocol may never have been read.
                 total += txn.request.size_kb * (not self.nonconforming_lines.get(txn.request.line))
         if total > self.plan.memory_kb:
-            raise RuleViolation("memory", "", f"{total:.0f} KB are booked of {self.plan.memory_kb:.0f}")
+            raise RuleViolation("memory", "", f"txns take {total:.0f} KB, limit {self.plan.memory_kb:.0f} KB")
 
     def _finish_call(self, txn: TxnView) -> None:
         txn.awaited_cursor, txn.good_reply, txn.call_body = 0, None, b""
@@ -609,7 +608,7 @@
 
     def _on_notice(self, notice: Notice) -> None:
         if notice.link != self.current_link or notice.cursor != self.last_cursor + 1:
-            return  # of an old link, or told again
+            return  # from an old link, or a duplicate
         self.last_cursor = notice.cursor
         txn = self.txns_by_ref.get(notice.handle)
         if txn is None:
@@ -632,20 +631,22 @@
     def _on_call_made(self, call: CallMade) -> None:
         txn = self.txns_by_ref.get(call.ref)
         if txn is None:
-            raise RuleViolation("form", call.ref, "a call for a txn that never came")
+            raise RuleViolation("form", call.ref, "call for an unknown txn")
         self.judged["unchanged"] += 1
         self.record_event("call", call.ref)
         if not txn.awaited_cursor or call.body != txn.call_body:
             if txn.answer_kind or txn.fate or txn.withdrawn:
                 return
-            raise RuleViolation("unchanged", call.ref, "a call that its run did not ask for")
+            raise RuleViolation("unchanged", call.ref, "call that its run did not request")
         if txn.good_reply is not None and not txn.answer_kind and not txn.withdrawn:
-            raise RuleViolation("call-kept", call.ref, "a call is made again whose good reply had come")
+            raise RuleViolation(
+                "call-kept", call.ref, "call repeated although its successful reply had arrived"
+            )
         if txn.product.kind != "free":
             self.judged["call-twice"] += 1
             if not txn.call_repeatable:
                 raise RuleViolation(
-                    "call-twice", call.ref, "made again, though the first may have had its effect"
+                    "call-twice", call.ref, "call repeated although the first may have had its effect"
                 )
         txn.call_repeatable = False
         self.open_calls[call.line] = OutstandingCall(txn, txn.awaited_cursor, self.now, call.wait_ms * MS)
@@ -679,34 +680,38 @@
             and not self.is_paused()
         ):
             raise RuleViolation(
-                "call-wait", call.txn.request.ref, f"given up {overrun / MS:.0f} ms later than it told"
+                "call-wait",
+                call.txn.request.ref,
+                f"abandoned {overrun / MS:.0f} ms after its announced time limit",
             )
         end = call.replied_at if call.replied else self.now + LINGER * ended.by_us
         self.ended_calls.append((call.begun_at, end))
 
     def _check_call_limits(self) -> None:
-        """Time in hand within the window past, lingering counted: its mean must stay within the own share, of
-        this life and of all lives together."""
+        """Checks the mean number of outstanding calls over the last `calls_over`, including the time that
+        abandoned calls linger at the ledger: for this process, and with its predecessors' calls."""
         start = self.now - self.plan.calls_over
         while self.ended_calls and self.ended_calls[0][1] <= start:
             self.ended_calls.popleft()
-        own_mean = self._mean_calls_in_hand(self.call_spans(self.now))
-        self._check_share("call-limit", own_mean, "calls in hand in the mean")
+        own_mean = self._mean_outstanding_calls(self.call_spans(self.now))
+        self._check_share("call-limit", own_mean, "calls outstanding on average")
         if self.earlier_calls:
-            all_lives_mean = own_mean + self._mean_calls_in_hand(self.earlier_calls)
-            self._check_share("call-limit-lives", all_lives_mean, "calls in hand in the mean over all lives")
+            all_lives_mean = own_mean + self._mean_outstanding_calls(self.earlier_calls)
+            self._check_share(
+                "call-limit-lives", all_lives_mean, "calls outstanding on average across restarts"
+            )
 
     def call_spans(self, now: int, linger: int = 0) -> list[tuple[int, int]]:
-        """Begin and end of each call of this life, as far as the window asks; those that are out end now and
-        stay in hand for `linger` microseconds more."""
+        """Begin and end of each call of this process that reaches into the window. Calls without a reply
+        count as outstanding until `now` plus `linger` microseconds."""
         outstanding = [
             (call.begun_at, call.replied_at if call.replied else now + linger)
             for call in self.open_calls.values()
         ]
         return [*self.ended_calls, *outstanding]
 
-    def _mean_calls_in_hand(self, spans: Iterable[tuple[int, int]]) -> float:
-        """Calls in hand in the mean over the window past."""
+    def _mean_outstanding_calls(self, spans: Iterable[tuple[int, int]]) -> float:
+        """Mean number of outstanding calls over the last `calls_over` microseconds."""
         start = self.now - self.plan.calls_over
         total_us = sum(max(0, min(end, self.now) - max(begin, start)) for begin, end in spans)
         return total_us / self.plan.calls_over
@@ -715,5 +720,5 @@
         self.judged[rule] += 1
         if mean_calls > self.plan.calls_out:
             raise RuleViolation(
-                rule, "", f"{mean_calls:.2f} {description}, {self.plan.calls_out:.2f} are the share"
+                rule, "", f"{mean_calls:.2f} {description}, the share is {self.plan.calls_out:.2f}"
             )
