--- a/limeridge/sim/bad_callers.py
+++ b/limeridge/sim/bad_callers.py
@@ -143,7 +143,7 @@
         ]
         if senders:
             parts_after = max(plan.stop - int(CLOSE_STREAMS_BEFORE_KILL_S * SECOND), plan.stop // 2)
-            timeline.at(timeline.now + parts_after, None, "parting", self._send_unread, senders)
+            timeline.schedule(timeline.now + parts_after, None, "parting", self._send_unread, senders)
 
     def _cross(self, sender: LateSender, event: Farewell | LineClosing) -> None:
         """The instance says farewell or ends a late sender's connection: what is sent now crosses that."""
--- a/limeridge/sim/explore.py
+++ b/limeridge/sim/explore.py
@@ -17,7 +17,7 @@
 from itertools import combinations
 
 from limeridge.sim.oracles import RULES
-from limeridge.sim.plan import ALONE, Plan, Shrinker, draw
+from limeridge.sim.plan import NON_PEER_FAULTS, Plan, Shrinker, draw
 from limeridge.sim.scenario import named
 from limeridge.sim.world import Outcome, Record, World
 
@@ -91,7 +91,7 @@
     def all_pairs(self) -> dict[tuple[str, str], int]:
         """Each pair of kinds, met or not; a kind with itself is no pair."""
         # Faults among peers come in scenarios with peers alone.
-        kinds = sorted({kind.value for kind in ALONE} | set(self.faults))
+        kinds = sorted({kind.value for kind in NON_PEER_FAULTS} | set(self.faults))
         return {pair: self.pairs.get(pair, 0) for pair in combinations(kinds, 2)}
 
     def rules(self) -> dict[str, int]:
@@ -115,10 +115,12 @@
     were tried."""
     shrinker, best = Shrinker(plan, outcome.at), outcome
     until = time.monotonic() + seconds
-    while shrinker.tries < most and time.monotonic() < until and (smaller := shrinker.next()) is not None:
+    while (
+        shrinker.tries < most and time.monotonic() < until and (smaller := shrinker.next_plan()) is not None
+    ):
         tried = run_plan(smaller)
         same = tried.rule == outcome.rule and tried.steps <= best.steps
-        shrinker.tell(smaller, tried.at if same else None)
+        shrinker.record_result(smaller, tried.at if same else None)
         if same:
             best = tried
             if told is not None:
--- a/limeridge/sim/links.py
+++ b/limeridge/sim/links.py
@@ -9,12 +9,14 @@
 import random
 from dataclasses import dataclass
 
-SYN_AGAIN = 200_000  # microseconds until a packet to a full backlog or over a cut way is sent again
-RESEND = 200_000  # the longest that a segment waits after a way is whole again: a sender probes by then
+SYN_RETRY_DELAY = 200_000  # microseconds until a packet to a full backlog or over a cut way is sent again
+MAX_RESEND_DELAY = (
+    200_000  # the longest that a segment waits after a way is whole again: a sender probes by then
+)
 
 
 @dataclass(slots=True)
-class Weather:
+class NetworkConditions:
     """Ranges that a seed draws once."""
 
     least: int = 50  # microseconds a way
@@ -32,61 +34,65 @@
 class Links:
     """Who reaches whom, and how soon."""
 
-    def __init__(self, chance: random.Random, weather: Weather) -> None:
-        self.chance, self.weather = chance, weather
-        self.cuts: dict[tuple[str, str], int] = {}  # ways from, to that are cut, and how many times
-        self.slow: dict[str, int] = {}  # microseconds more to and from an address
-        self.lossy: dict[str, float] = {}  # share of the datagrams from an address that gets lost besides
+    def __init__(self, rng: random.Random, conditions: NetworkConditions) -> None:
+        self.rng, self.conditions = rng, conditions
+        self.cut_counts: dict[tuple[str, str], int] = {}  # ways from, to that are cut, and how many times
+        self.extra_delays: dict[str, int] = {}  # microseconds more to and from an address
+        self.extra_losses: dict[
+            str, float
+        ] = {}  # share of the datagrams from an address that gets lost besides
 
-    def delay(self, source: str, target: str, size: int = 0) -> int:
+    def draw_delay(self, source: str, target: str, size: int = 0) -> int:
         """Microseconds from sending to arrival of `size` bytes."""
-        weather = self.weather
-        base = weather.least + int(self.chance.random() * (weather.most - weather.least))
-        more = self.slow.get(source, 0) + self.slow.get(target, 0) if self.slow else 0
-        return base + more + size * 1_000_000 // weather.bandwidth
+        conditions = self.conditions
+        base = conditions.least + int(self.rng.random() * (conditions.most - conditions.least))
+        extra_delay = (
+            self.extra_delays.get(source, 0) + self.extra_delays.get(target, 0) if self.extra_delays else 0
+        )
+        return base + extra_delay + size * 1_000_000 // conditions.bandwidth
 
-    def cut(self, source: str, target: str) -> bool:
+    def is_cut(self, source: str, target: str) -> bool:
         """Whether the way is cut just now."""
-        return bool(self.cuts) and (source, target) in self.cuts
+        return bool(self.cut_counts) and (source, target) in self.cut_counts
 
-    def sever(self, source: str, target: str, both: bool) -> None:
-        for way in ((source, target), (target, source))[: 1 + both]:
-            self.cuts[way] = self.cuts.get(way, 0) + 1
+    def add_cut(self, source: str, target: str, both: bool) -> None:
+        for path in ((source, target), (target, source))[: 1 + both]:
+            self.cut_counts[path] = self.cut_counts.get(path, 0) + 1
 
-    def mend(self, source: str, target: str, both: bool) -> None:
-        for way in ((source, target), (target, source))[: 1 + both]:
-            left = self.cuts.get(way, 0) - 1
-            if left > 0:
-                self.cuts[way] = left
+    def remove_cut(self, source: str, target: str, both: bool) -> None:
+        for path in ((source, target), (target, source))[: 1 + both]:
+            remaining = self.cut_counts.get(path, 0) - 1
+            if remaining > 0:
+                self.cut_counts[path] = remaining
             else:
-                self.cuts.pop(way, None)
+                self.cut_counts.pop(path, None)
 
-    def resend(self) -> int:
+    def draw_resend_delay(self) -> int:
         """How long after its last try a held-up segment is tried again."""
-        return 1_000 + int(self.chance.random() * RESEND)
+        return 1_000 + int(self.rng.random() * MAX_RESEND_DELAY)
 
-    def whole(self) -> bool:
+    def draw_unsplit(self) -> bool:
         """Whether what is written now stays in one piece."""
-        return self.chance.random() >= self.weather.split
+        return self.rng.random() >= self.conditions.split
 
-    def pieces(self, size: int) -> list[int]:
+    def draw_split_offsets(self, size: int) -> list[int]:
         """Where `size` bytes are split on their way: ends of the pieces, the last one `size`."""
         if size < 2:
             return [size]
-        cuts = sorted(
-            {1 + int(self.chance.random() * (size - 1)) for _ in range(1 + (self.chance.random() < 0.3))}
+        offsets = sorted(
+            {1 + int(self.rng.random() * (size - 1)) for _ in range(1 + (self.rng.random() < 0.3))}
         )
-        return [*(cut for cut in cuts if cut < size), size]
+        return [*(offset for offset in offsets if offset < size), size]
 
-    def joins(self) -> bool:
-        return self.chance.random() < self.weather.join
+    def draw_coalesces(self) -> bool:
+        return self.rng.random() < self.conditions.join
 
-    def datagram(self, source: str, target: str) -> list[int]:
+    def draw_datagram_delays(self, source: str, target: str) -> list[int]:
         """Delays of the copies that arrive: none where it is lost."""
-        if self.cut(source, target) or self.chance.random() < self.weather.lost:
+        if self.is_cut(source, target) or self.rng.random() < self.conditions.lost:
             return []
-        if self.lossy and self.chance.random() < self.lossy.get(source, 0.0):
+        if self.extra_losses and self.rng.random() < self.extra_losses.get(source, 0.0):
             return []
-        copies = 2 if self.chance.random() < self.weather.doubled else 1
-        late = 1 + 20 * (self.chance.random() < self.weather.late)
-        return [self.delay(source, target) * late for _ in range(copies)]
+        copies = 2 if self.rng.random() < self.conditions.doubled else 1
+        late_factor = 1 + 20 * (self.rng.random() < self.conditions.late)
+        return [self.draw_delay(source, target) * late_factor for _ in range(copies)]
--- a/limeridge/sim/oracles.py
+++ b/limeridge/sim/oracles.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass, field
 
-from limeridge.sim.plan import LINGER, Plan, Product
+from limeridge.sim.plan import ABANDONED_CALL_LINGER, Plan, Product
 from limeridge.sim.reactor import Closing
 from limeridge.sim.timeline import SECOND
 from limeridge.sim.wires import (
@@ -684,7 +684,7 @@
                 call.txn.request.ref,
                 f"abandoned {overrun / MS:.0f} ms after its announced time limit",
             )
-        end = call.replied_at if call.replied else self.now + LINGER * ended.by_us
+        end = call.replied_at if call.replied else self.now + ABANDONED_CALL_LINGER * ended.by_us
         self.ended_calls.append((call.begun_at, end))
 
     def _check_call_limits(self) -> None:
--- a/limeridge/sim/plan.py
+++ b/limeridge/sim/plan.py
@@ -17,11 +17,11 @@
 
 import orjson
 
-from limeridge.sim.links import Weather
+from limeridge.sim.links import NetworkConditions
 from limeridge.sim.timeline import SECOND, Ties
 
 MS = 1_000
-LINGER = 100 * MS  # that a call left behind stays in the records service's hands
+ABANDONED_CALL_LINGER = 100 * MS  # that a call left behind stays in the records service's hands
 PROTOCOL_KINDS = {
     "free": "inquiry-like",
     "guarded": "referenced",
@@ -64,7 +64,7 @@
     SEND_AT_CLOSE = "send-at-close"  # `amount` callers that rest send a request as their connection is ended
 
 
-AT_INSTANCE = (
+INSTANCE_FAULTS = (
     Kind.KILL,
     Kind.PAUSE,
     Kind.SLOW_CORES,
@@ -84,15 +84,15 @@
     Kind.KEY_COPY,
     Kind.SEND_AT_CLOSE,
 )
-ENDS_LIVES = (Kind.KILL, Kind.DRAIN)
-AMONG = (Kind.ISLANDS, Kind.FLAP, Kind.PEER_LOSS)  # instances that know each other
-ALONE = tuple(kind for kind in Kind if kind not in AMONG)
-BAD_CALLERS = (
+RESTART_FAULTS = (Kind.KILL, Kind.DRAIN)
+PEER_FAULTS = (Kind.ISLANDS, Kind.FLAP, Kind.PEER_LOSS)  # instances that know each other
+NON_PEER_FAULTS = tuple(kind for kind in Kind if kind not in PEER_FAULTS)
+BAD_CALLER_FAULTS = (
     Kind.KEY_COPY,
     Kind.SEND_AT_CLOSE,
 )  # drawn from a stream of their own, so that they move no other draw
-USUAL_KINDS = tuple(kind for kind in ALONE if kind not in BAD_CALLERS)
-TRIGGERS = (
+DEFAULT_FAULT_KINDS = tuple(kind for kind in NON_PEER_FAULTS if kind not in BAD_CALLER_FAULTS)
+TRIGGER_EVENTS = (
     "asked",
     "sched",
     "iodone",
@@ -106,9 +106,9 @@
     "answer",
     "revoke",
 )
-FAR = ("kernel", "ledger", "callers", "node-list")
-PEERS = "peers"
-RUDE_KINDS = 14
+CUT_ENDPOINTS = ("kernel", "ledger", "callers", "node-list")
+PEERS_ENDPOINT = "peers"
+RUDE_CALLER_KINDS = 14
 
 
 @dataclass(slots=True, frozen=True)
@@ -139,7 +139,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ask:
+class PlannedTxn:
     """A client's txn, by the caller that it comes through."""
 
     at: int
@@ -173,7 +173,7 @@
     settle: int
     floor_share: float
     voters: int = 0  # the first so many; all where 0
-    linger: int = LINGER  # that a call left behind is counted for
+    linger: int = ABANDONED_CALL_LINGER  # that a call left behind is counted for
 
 
 @dataclass(slots=True, frozen=True)
@@ -187,8 +187,8 @@
     products: tuple[Product, ...]
     customers: int
     callers: tuple[Caller, ...]
-    weather: Weather
-    asks: tuple[Ask, ...]
+    weather: NetworkConditions
+    asks: tuple[PlannedTxn, ...]
     faults: tuple[Fault, ...]
     quiet: int  # all heals and nothing new comes
     quantum: int = 1
@@ -206,16 +206,16 @@
     checks: bool = True  # whether a caller makes health checks
     fleet: Fleet | None = None  # None where each instance is by itself
 
-    def config(self, number: int, moved: bool = False, life: int = 0) -> dict[str, Any]:
+    def config(self, number: int, alternate_addresses: bool = False, lifetime: int = 0) -> dict[str, Any]:
         """The configuration of an instance, in the platform's form; `moved` names the other addresses."""
-        last = 1 if moved else 0
+        port_offset = 1 if alternate_addresses else 0
         return {
             "name": f"n{number}",
             "listen": f"{instance_ip(number)}:8443",
-            "kernel": f"{kernel_ip(number)}:{7300 + last}",
-            "records": f"{LEDGER_IP}:{8900 + last}",
-            "roster": f"{NODE_LIST_IP}:{7946 + last}",
-            "seed": f"{(self.seed * 7_919 + number * 101 + life * 13) & 0xFFFFFFFFFFFF:x}",
+            "kernel": f"{kernel_ip(number)}:{7300 + port_offset}",
+            "records": f"{LEDGER_IP}:{8900 + port_offset}",
+            "roster": f"{NODE_LIST_IP}:{7946 + port_offset}",
+            "seed": f"{(self.seed * 7_919 + number * 101 + lifetime * 13) & 0xFFFFFFFFFFFF:x}",
             "stop_ms": self.stop / MS,
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": self.sockets},
             "settings": {
@@ -237,7 +237,7 @@
                     "classSkipWorth": [p.skip for p in self.products],
                     "callsOut": self.calls_out,
                     "callsOver": self.calls_over,
-                    "linger": LINGER,
+                    "linger": ABANDONED_CALL_LINGER,
                     "memoryKb": self.memory_kb,
                     "runFactor": self.run_factor,
                     "kbPerKey": 10.0,
@@ -268,7 +268,7 @@
 
 
 PEER_PORT = 7950
-LEDGER_IP, NODE_LIST_IP, RUDE_IP, PROBE_IP = "127.0.9.1", "127.0.9.5", "127.0.8.1", "127.0.8.9"
+LEDGER_IP, NODE_LIST_IP, RUDE_CALLER_IP, PROBE_IP = "127.0.9.1", "127.0.9.5", "127.0.8.1", "127.0.8.9"
 
 
 def instance_ip(number: int) -> str:
@@ -302,7 +302,7 @@
     op_ms: Range = (2, 60)
     calls: Range = (0, 2)
     faults: Range = (3, 9)
-    kinds: tuple[Kind, ...] = USUAL_KINDS
+    kinds: tuple[Kind, ...] = DEFAULT_FAULT_KINDS
     bad_callers: Range = (0, 0)  # faults of these kinds beside the others
     calls_out: Range = (0, 0)  # the share of calls in hand; one of four usual ones where (0, 0)
     scripted: tuple[Fault, ...] = ()
@@ -318,44 +318,44 @@
     peers: bool = False  # the instances know each other
 
 
-def whole(chance: random.Random, within: Range) -> int:
-    return int(chance.randint(math.ceil(within[0]), max(math.ceil(within[0]), math.floor(within[1]))))
+def draw_int(rng: random.Random, limits: Range) -> int:
+    return int(rng.randint(math.ceil(limits[0]), max(math.ceil(limits[0]), math.floor(limits[1]))))
 
 
-def spread(chance: random.Random, within: Range) -> float:
+def draw_log_uniform(rng: random.Random, limits: Range) -> float:
     """Even in the logarithm: small values as often as large ones."""
-    least, most = max(within[0], 1e-6), max(within[1], 1e-6)
-    return math.exp(chance.uniform(math.log(least), math.log(most)))
+    lowest, highest = max(limits[0], 1e-6), max(limits[1], 1e-6)
+    return math.exp(rng.uniform(math.log(lowest), math.log(highest)))
 
 
 def draw(ranges: Ranges, seed: int) -> Plan:
     """The plan of a seed; the same on every machine."""
-    chance = random.Random(f"{ranges.name}/{seed}")
-    span = int(chance.uniform(*ranges.seconds) * SECOND)
-    instances, cores = whole(chance, ranges.instances), whole(chance, ranges.cores)
+    rng = random.Random(f"{ranges.name}/{seed}")
+    duration = int(rng.uniform(*ranges.seconds) * SECOND)
+    instances, cores = draw_int(rng, ranges.instances), draw_int(rng, ranges.cores)
     callers = tuple(
         Caller(
-            chance.choice((1, 2, 3, 5)),
-            chance.random() < 0.6,
-            chance.choice((0.0, 0.3, 1.0)),
-            chance.choice((0.0, 0.0, 0.2)),
+            rng.choice((1, 2, 3, 5)),
+            rng.random() < 0.6,
+            rng.choice((0.0, 0.3, 1.0)),
+            rng.choice((0.0, 0.0, 0.2)),
         )
-        for _ in range(whole(chance, ranges.callers))
+        for _ in range(draw_int(rng, ranges.callers))
     )
-    products = tuple(draw_products(ranges, chance))
-    customers = chance.choice((0, 1, 2))
-    faults = tuple(draw_faults(ranges, chance, span, instances, len(callers)))
-    bad_callers = draw_bad_callers(ranges, seed, span, instances)
-    asks = tuple(draw_asks(ranges, chance, span, products, customers, len(callers), faults))
-    weather = Weather(
-        least=chance.choice((10, 50, 200)),
-        most=chance.choice((200, 400, 2_000)),
-        split=chance.choice((0.0, 0.1, 0.5)),
-        join=chance.choice((0.0, 0.3, 0.9)),
-        window=chance.choice((2_048, 16_384, 65_536)),
-        lost=chance.choice((0.0, 0.02, 0.2)),
-        doubled=chance.choice((0.0, 0.05)),
-        backlog=chance.choice((4, 128)),
+    products = tuple(draw_products(ranges, rng))
+    customers = rng.choice((0, 1, 2))
+    faults = tuple(draw_faults(ranges, rng, duration, instances, len(callers)))
+    bad_callers = draw_bad_callers(ranges, seed, duration, instances)
+    asks = tuple(draw_txns(ranges, rng, duration, products, customers, len(callers), faults))
+    weather = NetworkConditions(
+        least=rng.choice((10, 50, 200)),
+        most=rng.choice((200, 400, 2_000)),
+        split=rng.choice((0.0, 0.1, 0.5)),
+        join=rng.choice((0.0, 0.3, 0.9)),
+        window=rng.choice((2_048, 16_384, 65_536)),
+        lost=rng.choice((0.0, 0.02, 0.2)),
+        doubled=rng.choice((0.0, 0.05)),
+        backlog=rng.choice((4, 128)),
     )
     return Plan(
         seed=seed,
@@ -368,138 +368,142 @@
         weather=weather,
         asks=asks,
         faults=tuple(sorted((*faults, *bad_callers), key=lambda fault: fault.at)),
-        quiet=span,
-        quantum=chance.choice(ranges.quanta),
+        quiet=duration,
+        quantum=rng.choice(ranges.quanta),
         ties=ranges.ties,
-        calls_out=draw_calls_out(ranges, seed, usual=chance.choice((2.0, 4.0, 8.0, 16.0))),
-        calls_over=chance.choice((SECOND, 2 * SECOND)),
-        memory_kb=chance.choice((1_500.0, 5_000.0, 20_000.0)),
-        grace=whole(chance, ranges.grace_ms) * MS,
-        stop=whole(chance, ranges.stop_ms) * MS,
-        sockets=chance.choice((64, 128, 512)),
-        cold=chance.random() < ranges.cold,
-        round=chance.choice((0, 5 * MS)),
-        boot=chance.choice((0, 0, 50 * MS, 300 * MS)),
-        fleet=draw_fleet(chance, instances, products, faults) if ranges.peers else None,
+        calls_out=draw_calls_out(ranges, seed, default=rng.choice((2.0, 4.0, 8.0, 16.0))),
+        calls_over=rng.choice((SECOND, 2 * SECOND)),
+        memory_kb=rng.choice((1_500.0, 5_000.0, 20_000.0)),
+        grace=draw_int(rng, ranges.grace_ms) * MS,
+        stop=draw_int(rng, ranges.stop_ms) * MS,
+        sockets=rng.choice((64, 128, 512)),
+        cold=rng.random() < ranges.cold,
+        round=rng.choice((0, 5 * MS)),
+        boot=rng.choice((0, 0, 50 * MS, 300 * MS)),
+        fleet=draw_fleet(rng, instances, products, faults) if ranges.peers else None,
     )
 
 
 def draw_fleet(
-    chance: random.Random, instances: int, products: Sequence[Product], faults: Sequence[Fault]
+    rng: random.Random, instances: int, products: Sequence[Product], faults: Sequence[Fault]
 ) -> Fleet:
     """Where a way to the ledger may be cut, the ledger may not see that a caller has gone: what was left
     behind is then counted for as long as a call may take."""
-    unseen = any(fault.far == "ledger" for fault in faults)
-    longest = max(product.expiry for product in products)
+    ledger_may_be_cut = any(fault.far == "ledger" for fault in faults)
+    longest_expiry = max(product.expiry for product in products)
     return Fleet(
-        limit=instances * chance.choice((2, 3, 6)),
-        interval=chance.choice((100, 200)) * MS,
-        lease=chance.choice((400, 800)) * MS,
-        settle=chance.choice((50, 150)) * MS,
-        floor_share=chance.choice((0.4, 0.6)),
-        voters=chance.choice((0, 0, 3)) if instances > 3 else 0,
-        linger=longest if unseen else LINGER,
+        limit=instances * rng.choice((2, 3, 6)),
+        interval=rng.choice((100, 200)) * MS,
+        lease=rng.choice((400, 800)) * MS,
+        settle=rng.choice((50, 150)) * MS,
+        floor_share=rng.choice((0.4, 0.6)),
+        voters=rng.choice((0, 0, 3)) if instances > 3 else 0,
+        linger=longest_expiry if ledger_may_be_cut else ABANDONED_CALL_LINGER,
     )
 
 
-def draw_products(ranges: Ranges, chance: random.Random) -> Iterator[Product]:
-    def one(name: str, kind: str, window: int, value: float, skip: float) -> Product:
-        expiry = int(spread(chance, ranges.expiry_ms)) * MS
-        return Product(name, kind, int(expiry * chance.uniform(0.3, 0.8)), expiry, window, value, skip)
+def draw_products(ranges: Ranges, rng: random.Random) -> Iterator[Product]:
+    def product(name: str, kind: str, window: int, value: float, skip: float) -> Product:
+        expiry = int(draw_log_uniform(rng, ranges.expiry_ms)) * MS
+        return Product(name, kind, int(expiry * rng.uniform(0.3, 0.8)), expiry, window, value, skip)
 
-    yield one("look", "free", 0, 1.0, chance.choice((0.3, 0.6)))
+    yield product("look", "free", 0, 1.0, rng.choice((0.3, 0.6)))
     if ranges.referenced > 0:
-        yield one("book", "guarded", chance.choice((SECOND, 3 * SECOND)), 3.0, 0.0)
-    if ranges.once_only > 0 and chance.random() < 0.6:
-        yield one("pay", "single_shot", 0, 2.0, 0.0)
-    if chance.random() < 0.3:
-        yield one("list", "free", 0, 1.0, 0.0)
+        yield product("book", "guarded", rng.choice((SECOND, 3 * SECOND)), 3.0, 0.0)
+    if ranges.once_only > 0 and rng.random() < 0.6:
+        yield product("pay", "single_shot", 0, 2.0, 0.0)
+    if rng.random() < 0.3:
+        yield product("list", "free", 0, 1.0, 0.0)
 
 
-def draw_asks(
+def draw_txns(
     ranges: Ranges,
-    chance: random.Random,
-    span: int,
+    rng: random.Random,
+    duration: int,
     products: Sequence[Product],
     customers: int,
     callers: int,
     faults: Sequence[Fault],
-) -> list[Ask]:
+) -> list[PlannedTxn]:
     """Arrivals: an even stream, bursts, and what a jump of the traffic adds."""
-    count = whole(chance, ranges.txns)
-    times = [int(chance.uniform(100 * MS, span)) for _ in range(count)]
+    count = draw_int(rng, ranges.txns)
+    times = [int(rng.uniform(100 * MS, duration)) for _ in range(count)]
     for fault in faults:
         if fault.kind is Kind.JUMP:
-            times += [int(chance.uniform(fault.at, fault.at + fault.lasts)) for _ in range(int(fault.amount))]
-    if chance.random() < 0.3:  # all at once, as callers come back together
-        at = int(chance.uniform(100 * MS, span))
-        times += [at] * whole(chance, (5, 25))
+            times += [int(rng.uniform(fault.at, fault.at + fault.lasts)) for _ in range(int(fault.amount))]
+    if rng.random() < 0.3:  # all at once, as callers come back together
+        at = int(rng.uniform(100 * MS, duration))
+        times += [at] * draw_int(rng, (5, 25))
     weights = {"free": 1.0, "guarded": ranges.referenced, "single_shot": ranges.once_only}
-    keys = max(2, count // 6)
-    asks = []
+    key_count = max(2, count // 6)
+    txns = []
     for at in sorted(times):
-        number = chance.choices(range(len(products)), [weights[p.kind] for p in products])[0]
-        product = products[number]
+        product_index = rng.choices(range(len(products)), [weights[p.kind] for p in products])[0]
+        product = products[product_index]
         patience = (
-            product.expiry // MS if chance.random() < 0.7 else int(spread(chance, (50, product.expiry / MS)))
+            product.expiry // MS
+            if rng.random() < 0.7
+            else int(draw_log_uniform(rng, (50, product.expiry / MS)))
         )
-        asks.append(
-            Ask(
+        txns.append(
+            PlannedTxn(
                 at,
-                whole(chance, (0, callers - 1)),
-                number,
-                whole(chance, (0, max(0, customers - 1))) if customers else -1,
-                f"k{whole(chance, (0, keys))}" if product.kind == "guarded" else "",
-                round(spread(chance, (2, 60)), 1),
+                draw_int(rng, (0, callers - 1)),
+                product_index,
+                draw_int(rng, (0, max(0, customers - 1))) if customers else -1,
+                f"k{draw_int(rng, (0, key_count))}" if product.kind == "guarded" else "",
+                round(draw_log_uniform(rng, (2, 60)), 1),
                 patience,
-                int(spread(chance, ranges.work_ms) * MS),
+                int(draw_log_uniform(rng, ranges.work_ms) * MS),
                 # Few with more than one call: each costs as many steps as the rest of a txn.
-                min(whole(chance, ranges.calls), whole(chance, ranges.calls)),
-                int(spread(chance, ranges.op_ms) * MS),
-                chance.random() < 0.5,
+                min(draw_int(rng, ranges.calls), draw_int(rng, ranges.calls)),
+                int(draw_log_uniform(rng, ranges.op_ms) * MS),
+                rng.random() < 0.5,
             )
         )
-    return asks
+    return txns
 
 
 def draw_faults(
-    ranges: Ranges, chance: random.Random, span: int, instances: int, callers: int
+    ranges: Ranges, rng: random.Random, duration: int, instances: int, callers: int
 ) -> list[Fault]:
     """The scripted ones, and as many drawn ones as fit; one instance is not ended twice."""
     faults = list(ranges.scripted)
-    ended = {fault.target for fault in faults if fault.kind in ENDS_LIVES}
-    for _ in range(whole(chance, ranges.faults) if ranges.kinds else 0):
-        kind = chance.choice(ranges.kinds)
-        target = whole(chance, (0, (instances if kind in AT_INSTANCE else callers) - 1))
-        if kind in ENDS_LIVES:
-            if target in ended:
+    restarted = {fault.target for fault in faults if fault.kind in RESTART_FAULTS}
+    for _ in range(draw_int(rng, ranges.faults) if ranges.kinds else 0):
+        kind = rng.choice(ranges.kinds)
+        target = draw_int(rng, (0, (instances if kind in INSTANCE_FAULTS else callers) - 1))
+        if kind in RESTART_FAULTS:
+            if target in restarted:
                 continue
-            ended.add(target)
-        faults.append(draw_fault(kind, target, ranges, chance, span))
+            restarted.add(target)
+        faults.append(draw_fault(kind, target, ranges, rng, duration))
     return sorted(faults, key=lambda fault: fault.at)
 
 
-def draw_calls_out(ranges: Ranges, seed: int, usual: float) -> float:
+def draw_calls_out(ranges: Ranges, seed: int, default: float) -> float:
     """The share of calls in hand, from a stream of its own where the scenario sets its range."""
     if ranges.calls_out[1] <= 0:
-        return usual
-    return round(spread(random.Random(f"{ranges.name}/{seed}/calls out"), ranges.calls_out), 2)
+        return default
+    return round(draw_log_uniform(random.Random(f"{ranges.name}/{seed}/calls out"), ranges.calls_out), 2)
 
 
-def draw_bad_callers(ranges: Ranges, seed: int, span: int, instances: int) -> list[Fault]:
+def draw_bad_callers(ranges: Ranges, seed: int, duration: int, instances: int) -> list[Fault]:
     """Beside the other faults, from a stream of their own: all else is drawn as it is without them."""
-    chance = random.Random(f"{ranges.name}/{seed}/bad callers")
+    rng = random.Random(f"{ranges.name}/{seed}/bad callers")
     faults = []
-    for _ in range(whole(chance, ranges.bad_callers)):
-        kind = chance.choice(BAD_CALLERS)
-        faults.append(draw_fault(kind, whole(chance, (0, instances - 1)), ranges, chance, span))
+    for _ in range(draw_int(rng, ranges.bad_callers)):
+        kind = rng.choice(BAD_CALLER_FAULTS)
+        faults.append(draw_fault(kind, draw_int(rng, (0, instances - 1)), ranges, rng, duration))
     return faults
 
 
-def draw_fault(kind: Kind, target: int, ranges: Ranges, chance: random.Random, span: int) -> Fault:
-    at = int(chance.uniform(0.05, 0.85) * span)
-    lasts = int(spread(chance, (20 * MS, 0.6 * span)))
-    trigger = chance.choice(TRIGGERS) if kind in AT_INSTANCE and chance.random() < ranges.triggered else ""
+def draw_fault(kind: Kind, target: int, ranges: Ranges, rng: random.Random, duration: int) -> Fault:
+    at = int(rng.uniform(0.05, 0.85) * duration)
+    lasts = int(draw_log_uniform(rng, (20 * MS, 0.6 * duration)))
+    trigger = (
+        rng.choice(TRIGGER_EVENTS) if kind in INSTANCE_FAULTS and rng.random() < ranges.triggered else ""
+    )
     amounts: dict[Kind, Range] = {
         Kind.SLOW_CORES: (0.05, 0.6),
         Kind.LEDGER_SLOW: (2, 30),
@@ -520,36 +524,36 @@
         Kind.KEY_COPY: (1, 12),
         Kind.SEND_AT_CLOSE: (1, 24),
     }
-    amount = spread(chance, amounts[kind]) if kind in amounts else 0.0
+    amount = draw_log_uniform(rng, amounts[kind]) if kind in amounts else 0.0
     if kind is Kind.CLOCK_STEP:
-        amount = chance.choice((-1, 1)) * spread(chance, (0.005, 3_600))
+        amount = rng.choice((-1, 1)) * draw_log_uniform(rng, (0.005, 3_600))
     if kind is Kind.RUDE:
-        amount = whole(chance, amounts[kind]) * RUDE_KINDS + whole(chance, (0, RUDE_KINDS - 1))
+        amount = draw_int(rng, amounts[kind]) * RUDE_CALLER_KINDS + draw_int(rng, (0, RUDE_CALLER_KINDS - 1))
     return Fault(
         kind,
         at,
         lasts,
         target,
         amount,
-        chance.choice((*FAR, *[PEERS] * 6) if ranges.peers else FAR)
+        rng.choice((*CUT_ENDPOINTS, *[PEERS_ENDPOINT] * 6) if ranges.peers else CUT_ENDPOINTS)
         if kind in (Kind.CUT, Kind.CUT_ONE_WAY)
         else "",
         trigger,
-        whole(chance, (1, 6)) if trigger else 1,
-        chance.choice((0, 0, 100, 400, 1_000, 20_000)) if trigger else 0,
+        draw_int(rng, (1, 6)) if trigger else 1,
+        rng.choice((0, 0, 100, 400, 1_000, 20_000)) if trigger else 0,
     )
 
 
 # ---- what was met
 
 
-def pairs_met(plan: Plan, came: Sequence[tuple[Kind, int, int]]) -> set[tuple[str, str]]:
+def overlapping_fault_kinds(plan: Plan, fault_times: Sequence[tuple[Kind, int, int]]) -> set[tuple[str, str]]:
     """Pairs of kinds whose spans overlapped in a run, a second of after-effects counted in."""
-    met = set()
-    for (one, begin, end), (other, start, stop) in combinations(came, 2):
+    pairs = set()
+    for (one, begin, end), (other, start, stop) in combinations(fault_times, 2):
         if begin <= stop + SECOND and start <= end + SECOND:
-            met.add((min(one.value, other.value), max(one.value, other.value)))
-    return met
+            pairs.add((min(one.value, other.value), max(one.value, other.value)))
+    return pairs
 
 
 # ---- kept as text, for the corpus and for shrunk cases
@@ -567,8 +571,8 @@
         | {
             "products": tuple(Product(**each) for each in value["products"]),
             "callers": tuple(Caller(**each) for each in value["callers"]),
-            "weather": Weather(**value["weather"]),
-            "asks": tuple(Ask(**each) for each in value["asks"]),
+            "weather": NetworkConditions(**value["weather"]),
+            "asks": tuple(PlannedTxn(**each) for each in value["asks"]),
             "faults": tuple(Fault(**each | {"kind": Kind(each["kind"])}) for each in value["faults"]),
             "ties": Ties(value["ties"]),
             "fleet": Fleet(**value["fleet"]) if value.get("fleet") else None,
@@ -589,25 +593,25 @@
     tried: set[bytes] = field(default_factory=set)
     tries: int = 0
 
-    def proposals(self) -> Iterator[Plan]:
+    def smaller_plans(self) -> Iterator[Plan]:
         """In one round; begin again from the new best after each that still fails."""
         plan = self.best
-        late = self.broken_at + 1
+        cutoff = self.broken_at + 1
         yield replace(
             plan,
-            quiet=min(plan.quiet, late),
-            asks=tuple(a for a in plan.asks if a.at <= late),
-            faults=tuple(f for f in plan.faults if f.at <= late),
+            quiet=min(plan.quiet, cutoff),
+            asks=tuple(a for a in plan.asks if a.at <= cutoff),
+            faults=tuple(f for f in plan.faults if f.at <= cutoff),
         )
-        for part in self._parts(len(plan.faults)):
-            yield replace(plan, faults=without(plan.faults, part))
-        for part in self._parts(len(plan.asks)):
-            yield replace(plan, asks=without(plan.asks, part))
+        for part in self._slices(len(plan.faults)):
+            yield replace(plan, faults=remove_slice(plan.faults, part))
+        for part in self._slices(len(plan.asks)):
+            yield replace(plan, asks=remove_slice(plan.asks, part))
         for number in range(plan.instances - 1, 0, -1):
             yield replace(
                 plan,
                 instances=number,
-                faults=tuple(f for f in plan.faults if f.kind not in AT_INSTANCE or f.target < number),
+                faults=tuple(f for f in plan.faults if f.kind not in INSTANCE_FAULTS or f.target < number),
             )
         if len(plan.callers) > 1:
             yield replace(
@@ -620,35 +624,35 @@
             )
         if plan.checks:
             yield replace(plan, checks=False)
-        yield from self._sooner()
-        calm = replace(plan.weather, split=0.0, join=0.0, lost=0.0, doubled=0.0, late=0.0)
-        yield replace(plan, weather=calm)
-        for number, fault in enumerate(plan.faults):
+        yield from self._shorter_plans()
+        lossless = replace(plan.weather, split=0.0, join=0.0, lost=0.0, doubled=0.0, late=0.0)
+        yield replace(plan, weather=lossless)
+        for index, fault in enumerate(plan.faults):
             if fault.lasts > 20 * MS:
                 shorter = replace(fault, lasts=fault.lasts // 2)
-                yield replace(plan, faults=(*plan.faults[:number], shorter, *plan.faults[number + 1 :]))
+                yield replace(plan, faults=(*plan.faults[:index], shorter, *plan.faults[index + 1 :]))
 
-    def _sooner(self) -> Iterator[Plan]:
+    def _shorter_plans(self) -> Iterator[Plan]:
         """The same in less time: what comes before the first event cut away, or all of it at half the
         distance."""
         plan = self.best
         times = [ask.at for ask in plan.asks] + [fault.at for fault in plan.faults]
         first = min(times, default=0)
         if first > 40 * MS:
-            yield moved(plan, lambda at: max(0, at - first + 20 * MS))
-        yield moved(plan, lambda at: at // 2)
-        yield moved(plan, lambda at: at * 4 // 5)
+            yield with_mapped_times(plan, lambda at: max(0, at - first + 20 * MS))
+        yield with_mapped_times(plan, lambda at: at // 2)
+        yield with_mapped_times(plan, lambda at: at * 4 // 5)
 
     @staticmethod
-    def _parts(count: int) -> Iterator[slice]:
+    def _slices(count: int) -> Iterator[slice]:
         size = count
         while size >= 1:
             for start in range(0, count, size):
                 yield slice(start, start + size)
             size //= 2
 
-    def next(self) -> Plan | None:
-        for plan in self.proposals():
+    def next_plan(self) -> Plan | None:
+        for plan in self.smaller_plans():
             text = to_json(plan)
             if plan != self.best and text not in self.tried:
                 self.tried.add(text)
@@ -656,23 +660,23 @@
                 return plan
         return None
 
-    def tell(self, plan: Plan, broken_at: int | None) -> None:
+    def record_result(self, plan: Plan, broken_at: int | None) -> None:
         """`broken_at` is None where the rule held."""
         if broken_at is not None:
             self.best, self.broken_at = plan, broken_at
 
 
-def moved(plan: Plan, to: Callable[[int], int]) -> Plan:
+def with_mapped_times(plan: Plan, map_time: Callable[[int], int]) -> Plan:
     """All times of a plan changed alike."""
     return replace(
         plan,
-        quiet=to(plan.quiet),
-        asks=tuple(replace(ask, at=to(ask.at)) for ask in plan.asks),
-        faults=tuple(replace(fault, at=to(fault.at)) for fault in plan.faults),
+        quiet=map_time(plan.quiet),
+        asks=tuple(replace(ask, at=map_time(ask.at)) for ask in plan.asks),
+        faults=tuple(replace(fault, at=map_time(fault.at)) for fault in plan.faults),
     )
 
 
-def without(items: tuple[Any, ...], part: slice) -> tuple[Any, ...]:
-    left = list(items)
-    del left[part]
-    return tuple(left)
+def remove_slice(items: tuple[Any, ...], part: slice) -> tuple[Any, ...]:
+    remaining = list(items)
+    del remaining[part]
+    return tuple(remaining)
--- a/limeridge/sim/reactor.py
+++ b/limeridge/sim/reactor.py
@@ -16,8 +16,8 @@
 from twisted.internet.address import IPv4Address
 from twisted.python.failure import Failure
 
-from limeridge.sim.links import SYN_AGAIN, Links
-from limeridge.sim.timeline import SECOND, Held, Life, Timeline
+from limeridge.sim.links import SYN_RETRY_DELAY, Links
+from limeridge.sim.timeline import SECOND, EventHolder, Life, Timeline
 
 BUFFER = 65_536  # bytes not sent yet from which a producer is paused
 CHUNK = 65_536  # bytes read at once
@@ -41,7 +41,7 @@
     def closed(self, socket: Socket, by_us: bool) -> None: ...
 
 
-class Timer(Held):
+class Timer(EventHolder):
     """IDelayedCall."""
 
     def __init__(
@@ -49,9 +49,9 @@
     ) -> None:
         self.reactor, self.when, self.call, self.args, self.more = reactor, when, call, args, more
         self.called = self.cancelled = False
-        self.event = reactor.timeline.at(when, reactor.life, "timer", self.run, self)
+        self.event = reactor.timeline.schedule(when, reactor.life, "timer", self.run, self)
 
-    def run(self, _: Held) -> None:
+    def run(self, _: EventHolder) -> None:
         self.called = True
         self.call(*self.args, **self.more)
 
@@ -69,7 +69,7 @@
         self._alive()
         self.event.dead = True
         self.when = self.reactor.timeline.now + round(seconds * SECOND)
-        self.event = self.reactor.timeline.at(self.when, self.reactor.life, "timer", self.run, self)
+        self.event = self.reactor.timeline.schedule(self.when, self.reactor.life, "timer", self.run, self)
 
     def delay(self, seconds: float) -> None:
         self.reset((self.when - self.reactor.timeline.now) / SECOND + seconds)
@@ -128,15 +128,15 @@
     def send(self) -> None:
         """Puts in the air what the window lets through."""
         buffer = self.buffer
-        if buffer and (room := self.network.links.weather.window - len(self.inbox) - self.flying) > 0:
+        if buffer and (room := self.network.links.conditions.window - len(self.inbox) - self.flying) > 0:
             data = bytes(buffer[:room])
             del buffer[:room]
             self.flying += len(data)
-            if self.network.links.whole():
+            if self.network.links.draw_unsplit():
                 self._launch(data)
                 return
             start = 0
-            for end in self.network.links.pieces(len(data)):
+            for end in self.network.links.draw_split_offsets(len(data)):
                 self._launch(data[start:end])
                 start = end
 
@@ -144,7 +144,7 @@
         if self.broken:
             return
         links, timeline = self.network.links, self.network.timeline
-        arrive = timeline.now + links.delay(self.source.life.ip, self.target.life.ip, len(piece or b""))
+        arrive = timeline.now + links.draw_delay(self.source.life.ip, self.target.life.ip, len(piece or b""))
         self.last = max(self.last, arrive)
         self.air.append((self.last, piece))
         self._await()
@@ -155,7 +155,7 @@
     def _await(self, again: int = 0) -> None:
         if self.air and not self.arriving:
             self.arriving = True
-            self.network.timeline.at(
+            self.network.timeline.schedule(
                 max(self.air[0][0], again), self.target.life, "arrive", self.arrive, wire=True
             )
 
@@ -164,8 +164,8 @@
         if not self.air:
             return
         timeline, links = self.network.timeline, self.network.links
-        if links.cut(self.source.life.ip, self.target.life.ip):
-            self._await(timeline.now + links.resend())
+        if links.is_cut(self.source.life.ip, self.target.life.ip):
+            self._await(timeline.now + links.draw_resend_delay())
             return
         target, data = self.target, b""
         while self.air and self.air[0][0] <= timeline.now:
@@ -174,7 +174,7 @@
                 self.ended = True
                 break
             data += piece
-            if not self.air or not links.joins():
+            if not self.air or not links.draw_coalesces():
                 break
         self.flying -= len(data)
         self._await()
@@ -237,7 +237,7 @@
             self.read()
 
     def _read_soon(self) -> None:
-        self.reactor.timeline.at(self.reactor.timeline.now, self.life, "read", self.readable, wire=True)
+        self.reactor.timeline.schedule(self.reactor.timeline.now, self.life, "read", self.readable, wire=True)
 
     def read(self) -> None:
         inbox = self.inn.inbox
@@ -291,7 +291,7 @@
     def _flush_soon(self) -> None:
         if not self.flushing:
             self.flushing = True
-            self.reactor.timeline.at(self.reactor.timeline.now, self.life, "flush", self.flush)
+            self.reactor.timeline.schedule(self.reactor.timeline.now, self.life, "flush", self.flush)
 
     def window_opened(self) -> None:
         if self.connected and (self.out.buffer or self.disconnecting or self.half_closing):
@@ -348,7 +348,7 @@
             self.aborting = self.disconnecting = True
             self.reading = False
             self._tell_closing(Closing.ABORT)
-            self.reactor.timeline.at(self.reactor.timeline.now, self.life, "abort", self._aborted)
+            self.reactor.timeline.schedule(self.reactor.timeline.now, self.life, "abort", self._aborted)
 
     def _tell_closing(self, how: Closing) -> None:
         if self.reactor.tap is not None:
@@ -371,15 +371,19 @@
         """A reset is on its way to this end."""
         if not self.closed:
             network = self.reactor.network
-            delay = network.links.delay(self.other.life.ip, self.life.ip)
-            network.timeline.at(network.timeline.now + delay, self.life, "reset", self._reset, wire=True)
+            delay = network.links.draw_delay(self.other.life.ip, self.life.ip)
+            network.timeline.schedule(
+                network.timeline.now + delay, self.life, "reset", self._reset, wire=True
+            )
 
     def _reset(self) -> None:
         if self.closed:
             return
         links, timeline = self.reactor.network.links, self.reactor.timeline
-        if links.cut(self.other.life.ip, self.life.ip):
-            timeline.at(timeline.now + links.resend(), self.life, "reset", self._reset, wire=True)
+        if links.is_cut(self.other.life.ip, self.life.ip):
+            timeline.schedule(
+                timeline.now + links.draw_resend_delay(), self.life, "reset", self._reset, wire=True
+            )
             return
         self.inn.inbox.clear()
         self.inn.air.clear()
@@ -446,11 +450,11 @@
         self.most = most
 
     def full(self) -> bool:
-        return len(self.backlog) > min(self.most, self.reactor.network.links.weather.backlog)
+        return len(self.backlog) > min(self.most, self.reactor.network.links.conditions.backlog)
 
     def arrived(self, socket: Socket) -> None:
         self.backlog.append(socket)
-        self.reactor.timeline.at(
+        self.reactor.timeline.schedule(
             self.reactor.timeline.now, self.reactor.life, "accept", self.accept, wire=True
         )
 
@@ -525,23 +529,23 @@
 
     def _send(self, call: Callable[[], None], more: int = 0) -> None:
         network = self.reactor.network
-        delay = network.links.delay(self.reactor.life.ip, self.target[0]) + more
-        network.timeline.at(network.timeline.now + delay, None, "syn", call, wire=True)
+        delay = network.links.draw_delay(self.reactor.life.ip, self.target[0]) + more
+        network.timeline.schedule(network.timeline.now + delay, None, "syn", call, wire=True)
 
     def _syn(self) -> None:
         """At the target's machine."""
         reactor, network = self.reactor, self.reactor.network
         if self.state != "connecting" or not reactor.life.alive:
             return
-        if network.links.cut(reactor.life.ip, self.target[0]) or network.links.cut(
+        if network.links.is_cut(reactor.life.ip, self.target[0]) or network.links.is_cut(
             self.target[0], reactor.life.ip
         ):
-            self._send(self._syn, SYN_AGAIN)
+            self._send(self._syn, SYN_RETRY_DELAY)
             return
         port = network.listeners.get(self.target)
         if port is None:
-            delay = network.links.delay(self.target[0], reactor.life.ip)
-            network.timeline.at(
+            delay = network.links.draw_delay(self.target[0], reactor.life.ip)
+            network.timeline.schedule(
                 network.timeline.now + delay,
                 reactor.life,
                 "refused",
@@ -551,14 +555,16 @@
             )
             return
         if port.full():
-            self._send(self._syn, SYN_AGAIN)
+            self._send(self._syn, SYN_RETRY_DELAY)
             return
         ours, theirs = pair(network, reactor, port.reactor, self.target)
         port.arrived(theirs)
         self.socket, ours.connector = ours, self
         reactor.connecting -= 1
-        delay = network.links.delay(self.target[0], reactor.life.ip)
-        network.timeline.at(network.timeline.now + delay, reactor.life, "connected", self._stands, wire=True)
+        delay = network.links.draw_delay(self.target[0], reactor.life.ip)
+        network.timeline.schedule(
+            network.timeline.now + delay, reactor.life, "connected", self._stands, wire=True
+        )
         self.state = "standing"
 
     def _stands(self) -> None:
@@ -633,15 +639,15 @@
         if address is None:
             raise NotImplementedError("the virtual datagram port is never connected")
         network = self.reactor.network
-        for delay in network.links.datagram(self.reactor.life.ip, address[0]):
-            network.timeline.at(
+        for delay in network.links.draw_datagram_delays(self.reactor.life.ip, address[0]):
+            network.timeline.schedule(
                 network.timeline.now + delay, None, "datagram", self._arrive, data, address, wire=True
             )
 
     def _arrive(self, data: bytes, address: tuple[str, int]) -> None:
         port = self.reactor.network.datagrams.get(address)
         if port is not None:
-            port.reactor.timeline.at(
+            port.reactor.timeline.schedule(
                 port.reactor.timeline.now,
                 port.reactor.life,
                 "heard",
@@ -745,7 +751,7 @@
     def stop(self) -> None:
         if self.running:
             self.running = False
-            self.timeline.at(self.timeline.now, self.life, "stop", self.stopped)
+            self.timeline.schedule(self.timeline.now, self.life, "stop", self.stopped)
 
     def shut(self, in_order: bool) -> None:
         """The process is no more: its machine closes what it had open."""
--- a/limeridge/sim/scenario.py
+++ b/limeridge/sim/scenario.py
@@ -13,13 +13,13 @@
 from limeridge.settings import scenario_pb2 as pb
 from limeridge.settings.load import Checked, Unusable, load
 from limeridge.sim.plan import (
-    AMONG,
-    AT_INSTANCE,
-    FAR,
+    CUT_ENDPOINTS,
+    INSTANCE_FAULTS,
     MS,
-    PEERS,
-    RUDE_KINDS,
-    TRIGGERS,
+    PEER_FAULTS,
+    PEERS_ENDPOINT,
+    RUDE_CALLER_KINDS,
+    TRIGGER_EVENTS,
     Fault,
     Kind,
     Range,
@@ -56,7 +56,7 @@
     Kind.LEDGER_DOUBLES: (0, 1),
     Kind.NOTICES_DOUBLED: (0, 1),
     Kind.JUMP: (0, 10_000),
-    Kind.RUDE: (0, 1_000 * RUDE_KINDS),
+    Kind.RUDE: (0, 1_000 * RUDE_CALLER_KINDS),
     Kind.RESETS: (1, 10_000),
     Kind.SLOW_WIRE: (0, 10_000_000),
     Kind.CLOCK_STEP: (-1e8, 1e8),
@@ -89,7 +89,7 @@
 
 
 def _check_among(message: pb.Scenario, kind: Any, path: str, checked: Checked) -> None:
-    if Kind[pb.FaultKind.Name(kind)] in AMONG and not message.peers:
+    if Kind[pb.FaultKind.Name(kind)] in PEER_FAULTS and not message.peers:
         raise checked.refuse(path, "expected `peers: true` beside a fault among peers")
 
 
@@ -105,22 +105,22 @@
     checked.number(f"{path}.apart_ms", fault.apart_ms, 0, seconds * 1_000)
     if kind in AMOUNTS:
         checked.number(f"{path}.amount", fault.amount, *AMOUNTS[kind])
-    places = message.instances if kind in AT_INSTANCE else message.callers
-    if kind in AT_INSTANCE and message.HasField("instances") and fault.target >= places.least:
+    places = message.instances if kind in INSTANCE_FAULTS else message.callers
+    if kind in INSTANCE_FAULTS and message.HasField("instances") and fault.target >= places.least:
         raise checked.refuse(f"{path}.target", f"expected an instance below {places.least:g}")
-    if fault.count > 1 and kind not in (*AT_INSTANCE, Kind.CALLER_RESTART):
+    if fault.count > 1 and kind not in (*INSTANCE_FAULTS, Kind.CALLER_RESTART):
         raise checked.refuse(f"{path}.count", f"{kind.value} has one place and can't come at several")
-    least = places.least if message.HasField("instances" if kind in AT_INSTANCE else "callers") else 1
+    least = places.least if message.HasField("instances" if kind in INSTANCE_FAULTS else "callers") else 1
     if fault.count > 1 and fault.target + fault.count > least:
         raise checked.refuse(f"{path}.count", f"expected targets below {least:g}, the fewest there may be")
     last = fault.at_ms + max(0, fault.count - 1) * fault.apart_ms
     checked.number(f"{path}.apart_ms", last, 0, seconds * 1_000, "the last one's time")
-    far = (*FAR, PEERS) if message.peers else FAR
+    far = (*CUT_ENDPOINTS, PEERS_ENDPOINT) if message.peers else CUT_ENDPOINTS
     if (fault.far or kind in (Kind.CUT, Kind.CUT_ONE_WAY)) and fault.far not in far:
         raise checked.refuse(f"{path}.far", f"expected one of {', '.join(far)}")
-    if fault.trigger and fault.trigger not in TRIGGERS:
-        raise checked.refuse(f"{path}.trigger", f"expected one of {', '.join(TRIGGERS)}")
-    if fault.trigger and kind not in AT_INSTANCE:
+    if fault.trigger and fault.trigger not in TRIGGER_EVENTS:
+        raise checked.refuse(f"{path}.trigger", f"expected one of {', '.join(TRIGGER_EVENTS)}")
+    if fault.trigger and kind not in INSTANCE_FAULTS:
         raise checked.refuse(
             f"{path}.trigger", f"{kind.value} is at no instance and can't wait for its events"
         )
--- a/limeridge/sim/timeline.py
+++ b/limeridge/sim/timeline.py
@@ -13,8 +13,8 @@
 from typing import Any
 
 SECOND = 1_000_000
-BEGIN = 100 * SECOND  # so that no time is 0, which some code takes for 'never'
-ORDERS = 1 << 20
+START_TIME = 100 * SECOND  # so that no time is 0, which some code takes for 'never'
+ORDER_RANGE = 1 << 20
 
 
 class Ties(Enum):
@@ -30,7 +30,7 @@
 
     __slots__ = ("alive", "born", "held", "ip", "name", "paused", "serial", "soon_at", "soon_order")
 
-    def __init__(self, name: str, ip: str, serial: int = 0, born: int = BEGIN) -> None:
+    def __init__(self, name: str, ip: str, serial: int = 0, born: int = START_TIME) -> None:
         self.name, self.ip, self.serial, self.born = name, ip, serial, born
         self.alive, self.paused = True, False
         self.held: list[Event] = []  # what came to it during a pause
@@ -66,15 +66,15 @@
     """The queue. `quantum` is the grid in microseconds that all times are rounded up to: the coarser it is,
     the more often a reply and an expiry fall on the same tick."""
 
-    def __init__(self, chance: random.Random, quantum: int = 1, ties: Ties = Ties.DRAWN) -> None:
-        self.chance, self.quantum, self.ties = chance, quantum, ties
-        self.now = BEGIN
+    def __init__(self, rng: random.Random, quantum: int = 1, ties: Ties = Ties.DRAWN) -> None:
+        self.rng, self.quantum, self.ties = rng, quantum, ties
+        self.now = START_TIME
         self.queue: list[tuple[int, int, int, Event]] = []
         self.serial = 0
         self.steps = 0
-        self.on_tick = 0  # steps since time last moved
+        self.steps_on_tick = 0  # steps since time last moved
 
-    def at(
+    def schedule(
         self,
         when: int,
         life: Life | None,
@@ -84,16 +84,16 @@
         wire: bool = False,
     ) -> Event:
         """What is due at once keeps its process's order, as with a real reactor; all else is drawn."""
-        soon = when <= self.now
-        if soon:
+        immediate = when <= self.now
+        if immediate:
             when = self.now
         elif self.quantum > 1:
             when += -when % self.quantum
         event = Event(when, life, label, wire, call, args)
-        order = int(self.chance.random() * ORDERS)
-        if self.ties is not Ties.DRAWN and not soon:
-            order += ORDERS * (wire is (self.ties is Ties.TIMERS_FIRST))
-        if soon and not wire and life is not None:
+        order = int(self.rng.random() * ORDER_RANGE)
+        if self.ties is not Ties.DRAWN and not immediate:
+            order += ORDER_RANGE * (wire is (self.ties is Ties.TIMERS_FIRST))
+        if immediate and not wire and life is not None:
             if life.soon_at == when:
                 order = max(order, life.soon_order)
             life.soon_at, life.soon_order = when, order
@@ -111,13 +111,13 @@
             if event.dead or (life is not None and not life.alive):
                 continue
             if when > self.now:
-                self.now, self.on_tick = when, 0
+                self.now, self.steps_on_tick = when, 0
             if life is not None and life.paused:
                 life.held.append(event)
                 continue
             event.dead = True
             self.steps += 1
-            self.on_tick += 1
+            self.steps_on_tick += 1
             return event
         self.now = max(self.now, until)
         return None
@@ -128,14 +128,16 @@
         held, life.held = life.held, []
         for event in held:
             if not event.dead:
-                again = self.at(self.now, life, event.label, event.call, *event.args, wire=event.wire)
+                rescheduled = self.schedule(
+                    self.now, life, event.label, event.call, *event.args, wire=event.wire
+                )
                 event.dead = True
                 for holder in event.args:
-                    if isinstance(holder, Held):
-                        holder.event = again
+                    if isinstance(holder, EventHolder):
+                        holder.event = rescheduled
 
 
-class Held:
+class EventHolder:
     """Whoever keeps an event to cancel it later, and must follow it when a pause moves it."""
 
     event: Event
--- a/limeridge/sim/world.py
+++ b/limeridge/sim/world.py
@@ -27,29 +27,29 @@
 from limeridge.sim.links import Links
 from limeridge.sim.oracles import Oracles, RuleViolation
 from limeridge.sim.plan import (
-    FAR,
+    ABANDONED_CALL_LINGER,
+    CUT_ENDPOINTS,
     LEDGER_IP,
-    LINGER,
     MS,
     NODE_LIST_IP,
     PEER_PORT,
-    PEERS,
+    PEERS_ENDPOINT,
     PROBE_IP,
     PROTOCOL_KINDS,
-    RUDE_IP,
-    RUDE_KINDS,
-    Ask,
+    RUDE_CALLER_IP,
+    RUDE_CALLER_KINDS,
     Fault,
     Fleet,
     Kind,
     Plan,
+    PlannedTxn,
     caller_ip,
     instance_ip,
     kernel_ip,
-    pairs_met,
+    overlapping_fault_kinds,
 )
 from limeridge.sim.reactor import Network, Reactor, Socket
-from limeridge.sim.timeline import BEGIN, SECOND, Life, Timeline
+from limeridge.sim.timeline import SECOND, START_TIME, Life, Timeline
 from limeridge.sim.wires import Passed, Recorder
 from limeridge.standins.callers import Habit, Rude, RudeWay, Stub, Want
 from limeridge.standins.kernel import Kernel
@@ -149,7 +149,7 @@
             self.kernel_reactor.listenTCP(port, self.kernel)
         config = orjson.loads(self.file) if self.whole() else plan.config(self.number, self.moved)
         config["settings"]["familyInfo"]["justStarted"] = cold
-        config["seed"] = plan.config(self.number, life=self.lives)["seed"]
+        config["seed"] = plan.config(self.number, lifetime=self.lives)["seed"]
         self.file = orjson.dumps(config)
         self.life = Life(self.name, instance_ip(self.number), self.lives, now)
         self.oracles = Oracles(
@@ -251,7 +251,7 @@
                     if socket.host[1] == old:
                         world.reset(socket)
 
-        world.timeline.at(world.timeline.now + MOVED_AFTER, None, "moved", close)
+        world.timeline.schedule(world.timeline.now + MOVED_AFTER, None, "moved", close)
 
     def signal(self, number: int) -> None:
         if self.instance is not None:
@@ -268,7 +268,7 @@
         if self.instance is not None:
             self.oracles.process_ended = True
             now = self.world.timeline.now
-            spans = [*self.calls_before, *self.oracles.call_spans(now, linger=LINGER)]
+            spans = [*self.calls_before, *self.oracles.call_spans(now, linger=ABANDONED_CALL_LINGER)]
             self.calls_before = [span for span in spans if span[1] > now - self.world.plan.calls_over]
             self.instance = None
             self.reactor.shut(in_order)
@@ -302,7 +302,7 @@
         if self.world.record is not None:
             self.world.record(
                 self.world.timeline.steps,
-                self.world.timeline.now - BEGIN,
+                self.world.timeline.now - START_TIME,
                 self.name,
                 "log",
                 line.decode().strip(),
@@ -331,7 +331,7 @@
                 waits[1] -= 1
                 if not waits[1]:
                     world, fault = self.world, waits[0]
-                    world.timeline.at(world.timeline.now + fault.lag, None, "fault", world.begin, fault)
+                    world.timeline.schedule(world.timeline.now + fault.lag, None, "fault", world.begin, fault)
 
 
 class World:
@@ -348,7 +348,7 @@
         self.broken: tuple[RuleViolation, str, int] | None = None
         self.trouble = self.chance("trouble")
         self.bad_callers = BadCallers(self, self.chance("bad callers"))
-        self.last_heal = BEGIN + plan.quiet
+        self.last_heal = START_TIME + plan.quiet
         self.quiet = False
         self.ending: list[Callable[[], None]] = []  # what heals a fault that still lasts
         self.machines = [Machine(self, number) for number in range(plan.instances)]
@@ -360,15 +360,15 @@
     # ---- hearing
 
     def note(self, who: str, kind: str, ref: str) -> None:
-        text = f"{self.timeline.now - BEGIN:>9} {who} {kind} {ref}"
+        text = f"{self.timeline.now - START_TIME:>9} {who} {kind} {ref}"
         self.digest.update(text.encode())
         self.recent.append(text)
         if self.record is not None:
-            self.record(self.timeline.steps, self.timeline.now - BEGIN, who, kind, ref)
+            self.record(self.timeline.steps, self.timeline.now - START_TIME, who, kind, ref)
 
     def broke(self, broken: RuleViolation, who: str) -> None:
         if self.broken is None:
-            self.broken = broken, who, self.timeline.now - BEGIN
+            self.broken = broken, who, self.timeline.now - START_TIME
 
     def attempt(self, machine: Machine, judge: Callable[[], None]) -> None:
         """Oracles are called in the middle of an instance's code, which must not catch what they raise."""
@@ -407,7 +407,7 @@
         for number in range(len(plan.callers)):
             self.stub_reactors.append(self.reactor_for(f"c{number}", caller_ip(number)))
             self.stubs.append(self.stub(number))
-        self.rude_reactor = self.reactor_for("rude", RUDE_IP)
+        self.rude_reactor = self.reactor_for("rude", RUDE_CALLER_IP)
         self.probe_reactor = self.reactor_for("probe", PROBE_IP)
 
     def reactor_for(self, name: str, ip: str) -> Reactor:
@@ -478,12 +478,12 @@
 
     # ---- traffic
 
-    def ask(self, ask: Ask, number: int) -> None:
+    def ask(self, ask: PlannedTxn, number: int) -> None:
         stub = self.stubs[ask.caller]
         stub.want(self.want(ask, number))
         self.cases.append(stub.cases[-1])
 
-    def want(self, ask: Ask, number: int) -> Want:
+    def want(self, ask: PlannedTxn, number: int) -> Want:
         product = self.plan.products[ask.product]
         return Want(
             number,
@@ -507,16 +507,16 @@
     def begin(self, fault: Fault) -> None:
         if self.quiet:
             return
-        now, until = self.timeline.now, BEGIN + self.plan.quiet
+        now, until = self.timeline.now, START_TIME + self.plan.quiet
         heal = getattr(self, "_" + fault.kind.name.lower())(fault)
         if heal is False:
             return
         end = min(now + fault.lasts, until) if heal is not None else now
-        self.came.append((fault.kind, now - BEGIN, end - BEGIN))
+        self.came.append((fault.kind, now - START_TIME, end - START_TIME))
         self.note("world", fault.kind.value, str(fault.target))
         if heal is not None:
             self.ending.append(heal)
-            self.timeline.at(end, None, "heal", self.heal, heal)
+            self.timeline.schedule(end, None, "heal", self.heal, heal)
 
     def heal(self, heal: Callable[[], None]) -> None:
         if heal in self.ending:
@@ -546,7 +546,7 @@
             if machine.instance is None:
                 machine.start(cold=True)
 
-        self.timeline.at(at, None, "start", again)
+        self.timeline.schedule(at, None, "start", again)
 
     def _drain(self, fault: Fault) -> Any:
         machine = self.alive(fault)
@@ -566,7 +566,7 @@
                     machine.die(in_order=False)
                 self.revive(machine, 10 * MS)
 
-        self.timeline.at(kill_at, None, "kill", kill)
+        self.timeline.schedule(kill_at, None, "kill", kill)
         return None
 
     def _pause(self, fault: Fault) -> Any:
@@ -702,7 +702,7 @@
 
     def _rude(self, fault: Fault) -> Any:
         machine = self.machine(fault)
-        count, kind = divmod(int(fault.amount), RUDE_KINDS)
+        count, kind = divmod(int(fault.amount), RUDE_CALLER_KINDS)
         for _ in range(max(1, count)):
             rude = Rude(
                 Rude.KINDS[kind], self.rude_reactor, self.trouble, self.plan.products[0].name, machine.unix
@@ -747,23 +747,23 @@
 
     def _cut(self, fault: Fault, both: bool = True) -> Any:
         machine = self.machine(fault)
-        far = fault.far or FAR[0]
+        far = fault.far or CUT_ENDPOINTS[0]
         ips = {
             "kernel": [kernel_ip(machine.number)],
             "ledger": [LEDGER_IP],
             "node-list": [NODE_LIST_IP],
             "callers": [caller_ip(number) for number in range(len(self.stubs))],
-            PEERS: [instance_ip(each.number) for each in self.machines if each is not machine],
+            PEERS_ENDPOINT: [instance_ip(each.number) for each in self.machines if each is not machine],
         }[far]
         ways = [(instance_ip(machine.number), ip) for ip in ips]
         if not both and self.trouble.random() < 0.5:
             ways = [(there, here) for here, there in ways]
         for way in ways:
-            self.links.sever(*way, both)
+            self.links.add_cut(*way, both)
 
         def mend() -> None:
             for way in ways:
-                self.links.mend(*way, both)
+                self.links.remove_cut(*way, both)
 
         return mend
 
@@ -785,20 +785,20 @@
 
     def _slow_wire(self, fault: Fault) -> Any:
         ip, more = instance_ip(self.machine(fault).number), int(fault.amount)
-        self.links.slow[ip] = self.links.slow.get(ip, 0) + more
+        self.links.extra_delays[ip] = self.links.extra_delays.get(ip, 0) + more
 
         def heal() -> None:
-            self.links.slow[ip] -= more
+            self.links.extra_delays[ip] -= more
 
         return heal
 
     def sever(self, ways: list[tuple[str, str]]) -> Callable[[], None]:
         for way in ways:
-            self.links.sever(*way, both=True)
+            self.links.add_cut(*way, both=True)
 
         def mend() -> None:
             for way in ways:
-                self.links.mend(*way, both=True)
+                self.links.remove_cut(*way, both=True)
 
         return mend
 
@@ -825,7 +825,7 @@
             elif going[0]:
                 mend.append(self.sever(ways))
             if going[0]:
-                self.timeline.at(self.timeline.now + period, None, "flap", turn)
+                self.timeline.schedule(self.timeline.now + period, None, "flap", turn)
 
         def heal() -> None:
             going[0] = False
@@ -836,7 +836,7 @@
         return heal
 
     def _peer_loss(self, fault: Fault) -> Any:
-        lossy = self.links.lossy
+        lossy = self.links.extra_losses
         for machine in self.machines:
             lossy[instance_ip(machine.number)] = fault.amount
         return lossy.clear
@@ -852,10 +852,12 @@
             for machine in self.machines:
                 machine.start(plan.cold)
             for number, ask in enumerate(plan.asks):
-                timeline.at(BEGIN + ask.at, None, "ask", self.ask, ask, number)
+                timeline.schedule(START_TIME + ask.at, None, "ask", self.ask, ask, number)
             for fault in plan.faults:
-                timeline.at(BEGIN + fault.at, None, "fault", self.arm if fault.trigger else self.begin, fault)
-            self.steps(BEGIN + plan.quiet)
+                timeline.schedule(
+                    START_TIME + fault.at, None, "fault", self.arm if fault.trigger else self.begin, fault
+                )
+            self.steps(START_TIME + plan.quiet)
             self.calm()
             while self.broken is None and self.timeline.now < self.last_heal + SETTLE:
                 self.steps(self.last_heal + SETTLE)
@@ -882,7 +884,7 @@
             if self.record is not None:
                 self.record(
                     timeline.steps,
-                    timeline.now - BEGIN,
+                    timeline.now - START_TIME,
                     "net" if life is None else life.name,
                     event.label,
                     "",
@@ -896,10 +898,10 @@
                 for machine in self.machines:
                     if machine.instance is not None:
                         self.attempt(machine, partial(machine.oracles.on_time_advance, looked))
-            if timeline.on_tick > TICK_MOST or timeline.steps > STEPS_MOST:
+            if timeline.steps_on_tick > TICK_MOST or timeline.steps > STEPS_MOST:
                 self.broke(
                     RuleViolation(
-                        "livelock", "", f"{timeline.on_tick} steps on one tick, {timeline.steps} in all"
+                        "livelock", "", f"{timeline.steps_on_tick} steps on one tick, {timeline.steps} in all"
                     ),
                     "?",
                 )
@@ -935,7 +937,7 @@
         )
         cases: list[tuple[Machine, Any]] = []
         for number, machine in enumerate([*self.machines, *self.machines]):
-            ask = Ask(0, 0, 0, -1, "", 2.0, self.plan.products[0].expiry // MS, 2_000, 1, 5_000)
+            ask = PlannedTxn(0, 0, 0, -1, "", 2.0, self.plan.products[0].expiry // MS, 2_000, 1, 5_000)
             probe.listed = lambda name=machine.name: (name,)  # type: ignore[misc]
             cases.append((machine, probe.want(self.want(ask, 100_000 + number))))
             cases[-1][1].maybe_ran = machine.name  # its later tries go to the same instance
@@ -1054,7 +1056,7 @@
             len(plan.asks),
             plan.instances,
             came=[(kind.value, begin, end) for kind, begin, end in self.came],
-            pairs=sorted(pairs_met(plan, self.came)),
+            pairs=sorted(overlapping_fault_kinds(plan, self.came)),
             judged=dict(self.judged),
             states=dict(states),
         )
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -19,12 +19,12 @@
 
 from limeridge.sim import corpus, mutants, trace
 from limeridge.sim.explore import Coverage, explore, run_plan, run_seed, shrink
-from limeridge.sim.links import Links, Weather
+from limeridge.sim.links import Links, NetworkConditions
 from limeridge.sim.oracles import RULES, Oracles, RuleViolation
 from limeridge.sim.plan import Fault, Kind, Plan, Product, Ranges, draw, from_json, to_json
 from limeridge.sim.reactor import Closing, Network, Reactor
 from limeridge.sim.scenario import named, names
-from limeridge.sim.timeline import BEGIN, SECOND, Life, Ties, Timeline
+from limeridge.sim.timeline import SECOND, START_TIME, Life, Ties, Timeline
 from limeridge.sim.wires import (
     Answered,
     Asked,
@@ -76,9 +76,9 @@
 class Pair:
     """Two processes, `b` listening; faults of their code are raised."""
 
-    def __init__(self, seed: int = 1, quantum: int = 1, **weather: Any) -> None:
+    def __init__(self, seed: int = 1, quantum: int = 1, **conditions: Any) -> None:
         self.timeline = Timeline(random.Random(seed), quantum)
-        self.links = Links(random.Random(seed + 1), Weather(**weather))
+        self.links = Links(random.Random(seed + 1), NetworkConditions(**conditions))
         self.network = Network(self.timeline, self.links)
         self.faults: list[Any] = []
         self.a, self.b = (
@@ -175,15 +175,15 @@
 def test_cut_ways_hold_segments_back_and_a_full_backlog_or_a_pause_keeps_newcomers_waiting() -> None:
     pair = Pair()
     near, far = pair.connect()
-    pair.links.sever("127.0.0.1", "127.0.0.2", both=False)
+    pair.links.add_cut("127.0.0.1", "127.0.0.2", both=False)
     near.transport.write(b"held")
     far.transport.write(b"through")
     pair.go(SECOND)
     assert far.got == b"" and near.got == b"through"
-    pair.links.mend("127.0.0.1", "127.0.0.2", both=False)
+    pair.links.remove_cut("127.0.0.1", "127.0.0.2", both=False)
     pair.go(SECOND)
     assert far.got == b"held"
-    pair.b.life.paused, pair.links.weather.backlog = True, 2
+    pair.b.life.paused, pair.links.conditions.backlog = True, 2
     for _ in range(6):
         pair.a.connectTCP("127.0.0.2", 80, pair.near, timeout=2)
     pair.go(SECOND)
@@ -229,9 +229,9 @@
     def play(ties: Ties = Ties.DRAWN) -> list[tuple[int, int]]:
         timeline, seen = Timeline(random.Random(seed), quantum, ties), []
         for number, wait in enumerate(waits):
-            timeline.at(BEGIN + wait, None, "x", seen.append, number, wire=number % 2 == 0)
+            timeline.schedule(START_TIME + wait, None, "x", seen.append, number, wire=number % 2 == 0)
         order = []
-        while (event := timeline.step(BEGIN + 1_000)) is not None:
+        while (event := timeline.step(START_TIME + 1_000)) is not None:
             event.call(*event.args)
             order.append((event.when, seen[-1]))
         return order
@@ -239,9 +239,9 @@
     order = play()
     assert order == play() and sorted(n for _, n in order) == list(range(len(waits)))
     assert [when for when, _ in order] == sorted(when for when, _ in order)
-    assert all(when % quantum == 0 or when == BEGIN for when, _ in order)
+    assert all(when % quantum == 0 or when == START_TIME for when, _ in order)
     for ties, first in ((Ties.WIRE_FIRST, 0), (Ties.TIMERS_FIRST, 1)):
-        later = [(when, n) for when, n in play(ties) if when > BEGIN]
+        later = [(when, n) for when, n in play(ties) if when > START_TIME]
         for (one, a), (two, b) in combinations(later, 2):
             assert one != two or a % 2 == b % 2 or a % 2 == first
 
@@ -441,15 +441,15 @@
         plan = replace(
             plan, quantum=1, memory_kb=500.0, calls_out=2.0, calls_over=SECOND, grace=200_000, cores=1
         )
-        self.now, self.notes, self.is_paused = BEGIN, [], False
+        self.now, self.notes, self.is_paused = START_TIME, [], False
         self.oracles = Oracles(
             plan,
-            BEGIN,
+            START_TIME,
             lambda: 0,
             lambda: self.is_paused,
             lambda *note: self.notes.append(note),
             Counter(),
-            BEGIN,
+            START_TIME,
             False,
         )
         self.cursor = 0
@@ -661,7 +661,10 @@
     book.run(ref)
     book.note("IOREQ", ref, arg="Y2FsbA==")
     book.breaks("call-limit", book.see, CallMade(4, ref, 2_000, b"call"))
-    for earlier in ((), [(BEGIN - SECOND, BEGIN)] * 2):  # calls in hand of the life before, in all the window
+    for earlier in (
+        (),
+        [(START_TIME - SECOND, START_TIME)] * 2,
+    ):  # calls in hand of the life before, in all the window
         book = Book()
         book.oracles.earlier_calls = tuple(earlier)
         for number in range(1, 5):
