--- a/limeridge/cli/sim.py
+++ b/limeridge/cli/sim.py
@@ -331,7 +331,7 @@
 ) -> None:
     """Shows a trace kept by `run --trace`, filtered."""
     try:
-        for entry in traces.entries(file):
+        for entry in traces.read_entries(file):
             if (
                 (txn and entry.ref != txn)
                 or (instance and entry.who != instance)
@@ -346,7 +346,7 @@
                 click.echo(
                     f"{entry.step:>7} {entry.at / 1e6:>10.6f} {entry.who:<7} {entry.kind:<10} {entry.ref}"
                 )
-    except traces.Bad as bad:
+    except traces.InvalidTrace as bad:
         raise click.UsageError(str(bad)) from None
 
 
@@ -363,7 +363,7 @@
             raise click.UsageError("--add: expected --name and --note with it")
         click.echo(f"kept in {kept.add(name, note, plan_of(added, scenario))}")
         return
-    outcomes = [(case, run_plan(case.plan)) for case in kept.cases()]
+    outcomes = [(case, run_plan(case.plan)) for case in kept.load_cases()]
     rows: list[dict[str, Any]] = [
         {
             "name": case.name,
--- a/limeridge/sim/corpus.py
+++ b/limeridge/sim/corpus.py
@@ -1,7 +1,7 @@
-"""The corpus: plans that once failed, kept small, played by CI for ever.
+"""The regression corpus: minimised plans of past failures, which CI replays.
 
-It owns the files of corpus_plans/. A plan is kept as such and not as a seed, so that a change of the draw
-can't empty it.
+This module reads and writes the files in corpus_plans/. Plans are stored in full rather than as seeds, so
+that a change to how plans are drawn does not change them.
 """
 
 from __future__ import annotations
@@ -19,20 +19,20 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Kept:
+class CorpusCase:
     name: str
-    note: str  # what it showed
+    note: str  # the failure that the plan showed
     plan: Plan
 
 
-def cases(folder: Path = FOLDER) -> Iterator[Kept]:
-    """Raises Unusable for a file that is no kept plan."""
+def load_cases(folder: Path = FOLDER) -> Iterator[CorpusCase]:
+    """Raises Unusable if a file is not a stored plan."""
     for path in sorted(folder.glob("*.json")):
         try:
             value = orjson.loads(path.read_bytes())
-            yield Kept(path.stem, value["note"], from_json(orjson.dumps(value["plan"])))
-        except (ValueError, KeyError, TypeError) as trouble:
-            raise Unusable(f"{path}:1:1: expected a kept plan: {type(trouble).__name__}: {trouble}") from None
+            yield CorpusCase(path.stem, value["note"], from_json(orjson.dumps(value["plan"])))
+        except (ValueError, KeyError, TypeError) as error:
+            raise Unusable(f"{path}:1:1: expected a stored plan: {type(error).__name__}: {error}") from None
 
 
 def add(name: str, note: str, plan: Plan, folder: Path = FOLDER) -> Path:
--- a/limeridge/sim/links.py
+++ b/limeridge/sim/links.py
@@ -1,7 +1,7 @@
-"""What the virtual network does with a packet: its delay, its loss, its splitting, and who can reach whom.
+"""Conditions of the virtual network: packet delay, loss, splitting and reachability.
 
-It owns delays, partitions one way or both, spoilt addresses and the bounds of a connection (window, backlog,
-descriptors). It must never hold a byte or call a protocol: it is asked, and answers from the seed.
+This module draws delays and losses from the seed and keeps partitions (in one direction or both), extra delay
+or loss per address, and the connection limits (window, backlog). It holds no data and calls no protocol.
 """
 
 from __future__ import annotations
@@ -9,38 +9,35 @@
 import random
 from dataclasses import dataclass
 
-SYN_RETRY_DELAY = 200_000  # microseconds until a packet to a full backlog or over a cut way is sent again
-MAX_RESEND_DELAY = (
-    200_000  # the longest that a segment waits after a way is whole again: a sender probes by then
-)
+SYN_RETRY_DELAY = 200_000  # microseconds, after a SYN met a full backlog or a cut path
+# Microseconds that a segment waits at most after a path is restored; the sender has probed by then.
+MAX_RESEND_DELAY = 200_000
 
 
 @dataclass(slots=True)
 class NetworkConditions:
-    """Ranges that a seed draws once."""
+    """Network parameters, drawn once per seed; the field names are part of stored plans."""
 
-    least: int = 50  # microseconds a way
-    most: int = 400
+    least: int = 50  # minimum delay in one direction, microseconds
+    most: int = 400  # maximum delay in one direction, microseconds
     split: float = 0.1  # share of writes that arrive in pieces
-    join: float = 0.3  # share of arrivals that take along what came by then
+    join: float = 0.3  # share of arrivals that are coalesced with data that arrived by then
     bandwidth: int = 20_000_000  # bytes a second
-    window: int = 65_536  # bytes under way or not read, a direction
-    lost: float = 0.02  # of datagrams
-    doubled: float = 0.02
-    late: float = 0.05  # by several delays, so that they come out of order
+    window: int = 65_536  # bytes in flight or unread, per direction
+    lost: float = 0.02  # share of datagrams
+    doubled: float = 0.02  # share of datagrams
+    late: float = 0.05  # share of datagrams delayed by a multiple, which reorders them
     backlog: int = 128
 
 
 class Links:
-    """Who reaches whom, and how soon."""
+    """Reachability and delays between addresses."""
 
     def __init__(self, rng: random.Random, conditions: NetworkConditions) -> None:
         self.rng, self.conditions = rng, conditions
-        self.cut_counts: dict[tuple[str, str], int] = {}  # ways from, to that are cut, and how many times
-        self.extra_delays: dict[str, int] = {}  # microseconds more to and from an address
-        self.extra_losses: dict[
-            str, float
-        ] = {}  # share of the datagrams from an address that gets lost besides
+        self.cut_counts: dict[tuple[str, str], int] = {}  # cuts in force, by (source, target)
+        self.extra_delays: dict[str, int] = {}  # microseconds, for packets to and from an address
+        self.extra_losses: dict[str, float] = {}  # additional share of lost datagrams, by source
 
     def draw_delay(self, source: str, target: str, size: int = 0) -> int:
         """Microseconds from sending to arrival of `size` bytes."""
@@ -52,7 +49,7 @@
         return base + extra_delay + size * 1_000_000 // conditions.bandwidth
 
     def is_cut(self, source: str, target: str) -> bool:
-        """Whether the way is cut just now."""
+        """Whether packets from source to target are blocked."""
         return bool(self.cut_counts) and (source, target) in self.cut_counts
 
     def add_cut(self, source: str, target: str, both: bool) -> None:
@@ -68,15 +65,15 @@
                 self.cut_counts.pop(path, None)
 
     def draw_resend_delay(self) -> int:
-        """How long after its last try a held-up segment is tried again."""
+        """Microseconds from the last attempt until a blocked segment is sent again."""
         return 1_000 + int(self.rng.random() * MAX_RESEND_DELAY)
 
     def draw_unsplit(self) -> bool:
-        """Whether what is written now stays in one piece."""
+        """Whether a write arrives in one piece."""
         return self.rng.random() >= self.conditions.split
 
     def draw_split_offsets(self, size: int) -> list[int]:
-        """Where `size` bytes are split on their way: ends of the pieces, the last one `size`."""
+        """End offsets of the pieces that `size` bytes are split into; the last one is `size`."""
         if size < 2:
             return [size]
         offsets = sorted(
@@ -85,10 +82,11 @@
         return [*(offset for offset in offsets if offset < size), size]
 
     def draw_coalesces(self) -> bool:
+        """Whether an arrival is delivered together with the data that arrived by then."""
         return self.rng.random() < self.conditions.join
 
     def draw_datagram_delays(self, source: str, target: str) -> list[int]:
-        """Delays of the copies that arrive: none where it is lost."""
+        """Delays of the copies that arrive; empty if the datagram is lost."""
         if self.is_cut(source, target) or self.rng.random() < self.conditions.lost:
             return []
         if self.extra_losses and self.rng.random() < self.extra_losses.get(source, 0.0):
--- a/limeridge/sim/plan.py
+++ b/limeridge/sim/plan.py
@@ -1,8 +1,8 @@
-"""What one seed holds: the fleet, its terms, its traffic and its faults, drawn ahead of the run.
+"""Simulation plans: the fleet, its configuration, traffic and faults, drawn from a seed before the run.
 
-It owns the draw, its ranges and the rules that make faults legal together (each is over by the quiet point; a
-machine is not killed twice at once). It must never run anything: a plan is plain data that can be kept, cut
-down and played again.
+This module defines plans, draws them within the ranges of a scenario and shrinks them. It keeps the faults of
+a plan compatible: each is over by the quiet point, and a machine is not killed twice at once. It runs
+nothing: a plan is plain data that can be stored, minimised and replayed.
 """
 
 from __future__ import annotations
@@ -21,47 +21,47 @@
 from limeridge.sim.timeline import SECOND, Ties
 
 MS = 1_000
-ABANDONED_CALL_LINGER = 100 * MS  # that a call left behind stays in the records service's hands
+ABANDONED_CALL_LINGER = 100 * MS  # how long an abandoned call still occupies the ledger
 PROTOCOL_KINDS = {
     "free": "inquiry-like",
     "guarded": "referenced",
     "single_shot": "once-only",
-}  # by the settings' words
+}  # protocol name of each idempotency setting
 
 
 class Kind(Enum):
-    """Kinds of fault; the text is the name in scenario files and tables."""
+    """Kinds of fault; the value is the name in scenario files and tables."""
 
-    KILL = "kill"  # a machine, instance and kernel, dies and starts again cold
-    PAUSE = "pause"  # a machine stands still
+    KILL = "kill"  # a machine (instance and kernel) fails and restarts cold
+    PAUSE = "pause"  # a machine is suspended
     SLOW_CORES = "slow-cores"
-    DRAIN = "drain"  # SIGTERM, the kill at its time, a successor under the same name
-    RELOAD = "reload"  # SIGHUP with the other addresses of kernel, ledger and node list
+    DRAIN = "drain"  # SIGTERM, SIGKILL after the stop time, then a successor under the same name
+    RELOAD = "reload"  # SIGHUP with the alternate addresses of kernel, ledger and node list
     RELOAD_BAD = "reload-bad"
-    RELOAD_HALF = "reload-half"  # the file is half written, whole a moment later
-    LINK_BREAK = "link-break"  # the kernel's link, in the middle of whatever is on it
+    RELOAD_HALF = "reload-half"  # the file is half written at first and complete shortly after
+    LINK_BREAK = "link-break"  # the kernel's link breaks, possibly in the middle of a message
     NOTICES_DOUBLED = "notices-doubled"
     LEDGER_SLOW = "ledger-slow"
     LEDGER_DOWN = "ledger-down"  # refuses connections
-    LEDGER_FULL = "ledger-full"  # turns calls away
+    LEDGER_FULL = "ledger-full"  # rejects calls
     LEDGER_FAILS = "ledger-fails"
-    LEDGER_LOSES = "ledger-loses"  # calls never answered
+    LEDGER_LOSES = "ledger-loses"  # never answers some calls
     LEDGER_SPOILS = "ledger-spoils"
     LEDGER_DOUBLES = "ledger-doubles"
     NODE_LIST_DOWN = "node-list-down"
-    RUDE = "rude"  # bad callers at one instance
-    CLOCK_STEP = "clock-step"  # of one machine's Unix time
+    RUDE = "rude"  # callers that violate the protocol, at one instance
+    CLOCK_STEP = "clock-step"  # steps one machine's Unix time
     CALLER_RESTART = "caller-restart"
-    JUMP = "jump"  # of the traffic
-    CUT = "cut"  # both ways between an instance and a far end
+    JUMP = "jump"  # a surge of traffic
+    CUT = "cut"  # both directions between an instance and another endpoint
     CUT_ONE_WAY = "cut-one-way"
-    RESETS = "resets"  # connections of callers reset
+    RESETS = "resets"  # resets callers' connections
     SLOW_WIRE = "slow-wire"
-    ISLANDS = "islands"  # instances in `amount` parts that don't reach each other
-    FLAP = "flap"  # an instance's links to the others, cut and mended again and again
-    PEER_LOSS = "peer-loss"  # share `amount` of all that instances send in datagrams
-    KEY_COPY = "key-copy"  # `amount` bad callers send a key that they copied, with another body or tenant
-    SEND_AT_CLOSE = "send-at-close"  # `amount` callers that rest send a request as their connection is ended
+    ISLANDS = "islands"  # partitions the instances into `amount` groups
+    FLAP = "flap"  # repeatedly cuts and restores an instance's links to its peers
+    PEER_LOSS = "peer-loss"  # loses a share `amount` of the datagrams that instances send
+    KEY_COPY = "key-copy"  # `amount` callers reuse a copied key with another body or tenant
+    SEND_AT_CLOSE = "send-at-close"  # `amount` idle callers send a request as their connection is closed
 
 
 INSTANCE_FAULTS = (
@@ -85,12 +85,12 @@
     Kind.SEND_AT_CLOSE,
 )
 RESTART_FAULTS = (Kind.KILL, Kind.DRAIN)
-PEER_FAULTS = (Kind.ISLANDS, Kind.FLAP, Kind.PEER_LOSS)  # instances that know each other
+PEER_FAULTS = (Kind.ISLANDS, Kind.FLAP, Kind.PEER_LOSS)  # need instances that are peers
 NON_PEER_FAULTS = tuple(kind for kind in Kind if kind not in PEER_FAULTS)
 BAD_CALLER_FAULTS = (
     Kind.KEY_COPY,
     Kind.SEND_AT_CLOSE,
-)  # drawn from a stream of their own, so that they move no other draw
+)  # drawn from a random stream of their own, so that all other draws stay the same
 DEFAULT_FAULT_KINDS = tuple(kind for kind in NON_PEER_FAULTS if kind not in BAD_CALLER_FAULTS)
 TRIGGER_EVENTS = (
     "asked",
@@ -113,15 +113,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """`at` and `lasts` in microseconds from the start. With a trigger it comes `lag` after the `nth` such
-    event of its instance from `at` on, and not at all where there is none."""
+    """`at` is in microseconds from the start, `lasts` and `lag` in microseconds. With a trigger the fault
+    begins `lag` after the `nth` such event of its instance from `at` on, or never if there are fewer."""
 
     kind: Kind
     at: int
     lasts: int
-    target: int = 0  # instance or caller
+    target: int = 0  # number of the instance or caller
     amount: float = 0.0
-    far: str = ""  # the other end of a cut
+    far: str = ""  # the other endpoint of a cut
     trigger: str = ""
     nth: int = 1
     lag: int = 0
@@ -130,7 +130,7 @@
 @dataclass(slots=True, frozen=True)
 class Product:
     name: str
-    kind: str  # free, guarded, single_shot: the settings' words
+    kind: str  # the idempotency setting: free, guarded or single_shot
     sla: int
     expiry: int
     window: int
@@ -140,7 +140,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PlannedTxn:
-    """A client's txn, by the caller that it comes through."""
+    """A txn that a client sends through the given caller."""
 
     at: int
     caller: int
@@ -148,10 +148,10 @@
     customer: int
     key: str
     size_kb: float
-    patience: int  # ms a try
+    patience: int  # time limit per attempt, ms
     work: int  # microseconds on a core
     calls: int
-    op: int  # microseconds that a call takes
+    op: int  # duration of a call, microseconds
     effort: bool = False
 
 
@@ -165,20 +165,20 @@
 
 @dataclass(slots=True, frozen=True)
 class Fleet:
-    """How the instances know each other and share the ledger's limit; times in microseconds."""
+    """Membership and the sharing of the ledger's limit; times in microseconds."""
 
-    limit: int  # calls in the ledger's hands, of all
-    interval: int  # of a round of probes
+    limit: int  # concurrent calls at the ledger, of all instances
+    interval: int  # of probe rounds
     lease: int
     settle: int
     floor_share: float
-    voters: int = 0  # the first so many; all where 0
-    linger: int = ABANDONED_CALL_LINGER  # that a call left behind is counted for
+    voters: int = 0  # the first `voters` instances vote; 0: all
+    linger: int = ABANDONED_CALL_LINGER  # how long an abandoned call is counted
 
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """All that a run is made of; times in microseconds from its start."""
+    """Everything that determines a run; times in microseconds from its start."""
 
     seed: int
     scenario: str
@@ -190,7 +190,7 @@
     weather: NetworkConditions
     asks: tuple[PlannedTxn, ...]
     faults: tuple[Fault, ...]
-    quiet: int  # all heals and nothing new comes
+    quiet: int  # the quiet point: faults are over, no new traffic
     quantum: int = 1
     ties: Ties = Ties.DRAWN
     calls_out: float = 8.0
@@ -202,12 +202,12 @@
     sockets: int = 512
     cold: bool = False
     round: int = 5 * MS
-    boot: int = 0  # microseconds that a kernel takes to come up
-    checks: bool = True  # whether a caller makes health checks
-    fleet: Fleet | None = None  # None where each instance is by itself
+    boot: int = 0  # start-up time of a kernel
+    checks: bool = True  # whether health checks are sent
+    fleet: Fleet | None = None  # None if the instances are not peers
 
     def config(self, number: int, alternate_addresses: bool = False, lifetime: int = 0) -> dict[str, Any]:
-        """The configuration of an instance, in the platform's form; `moved` names the other addresses."""
+        """The configuration of an instance, in the platform's format."""
         port_offset = 1 if alternate_addresses else 0
         return {
             "name": f"n{number}",
@@ -290,7 +290,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Ranges:
-    """What a scenario lets the seed draw from."""
+    """The ranges of a scenario, from which a seed draws a plan."""
 
     name: str = "any"
     instances: Range = (2, 5)
@@ -303,19 +303,19 @@
     calls: Range = (0, 2)
     faults: Range = (3, 9)
     kinds: tuple[Kind, ...] = DEFAULT_FAULT_KINDS
-    bad_callers: Range = (0, 0)  # faults of these kinds beside the others
-    calls_out: Range = (0, 0)  # the share of calls in hand; one of four usual ones where (0, 0)
+    bad_callers: Range = (0, 0)  # number of BAD_CALLER_FAULTS, in addition to `faults`
+    calls_out: Range = (0, 0)  # share of outstanding calls; (0, 0): one of four defaults
     scripted: tuple[Fault, ...] = ()
     quanta: tuple[int, ...] = (1, 1, 100, 1_000, 5_000)
     ties: Ties = Ties.DRAWN
-    triggered: float = 0.35  # share of faults that wait for an event
+    triggered: float = 0.35  # share of instance faults that wait for an event
     expiry_ms: Range = (500, 2_000)
     stop_ms: Range = (800, 1_600)
     grace_ms: Range = (100, 500)
-    cold: float = 0.3  # share of seeds whose first lives start cold
+    cold: float = 0.3  # share of seeds whose instances start cold
     referenced: float = 0.4
     once_only: float = 0.15
-    peers: bool = False  # the instances know each other
+    peers: bool = False  # whether the instances are peers
 
 
 def draw_int(rng: random.Random, limits: Range) -> int:
@@ -323,13 +323,13 @@
 
 
 def draw_log_uniform(rng: random.Random, limits: Range) -> float:
-    """Even in the logarithm: small values as often as large ones."""
+    """Draws uniformly on a logarithmic scale."""
     lowest, highest = max(limits[0], 1e-6), max(limits[1], 1e-6)
     return math.exp(rng.uniform(math.log(lowest), math.log(highest)))
 
 
 def draw(ranges: Ranges, seed: int) -> Plan:
-    """The plan of a seed; the same on every machine."""
+    """Draws the plan of a seed; the result is the same on every machine."""
     rng = random.Random(f"{ranges.name}/{seed}")
     duration = int(rng.uniform(*ranges.seconds) * SECOND)
     instances, cores = draw_int(rng, ranges.instances), draw_int(rng, ranges.cores)
@@ -387,8 +387,8 @@
 def draw_fleet(
     rng: random.Random, instances: int, products: Sequence[Product], faults: Sequence[Fault]
 ) -> Fleet:
-    """Where a way to the ledger may be cut, the ledger may not see that a caller has gone: what was left
-    behind is then counted for as long as a call may take."""
+    """Draws how the ledger's limit is shared. If the path to the ledger may be cut, the ledger may not notice
+    that a caller is gone, so an abandoned call then counts for as long as a call may take."""
     ledger_may_be_cut = any(fault.far == "ledger" for fault in faults)
     longest_expiry = max(product.expiry for product in products)
     return Fleet(
@@ -425,13 +425,13 @@
     callers: int,
     faults: Sequence[Fault],
 ) -> list[PlannedTxn]:
-    """Arrivals: an even stream, bursts, and what a jump of the traffic adds."""
+    """Draws the arrivals: a uniform stream, bursts and the surges of JUMP faults."""
     count = draw_int(rng, ranges.txns)
     times = [int(rng.uniform(100 * MS, duration)) for _ in range(count)]
     for fault in faults:
         if fault.kind is Kind.JUMP:
             times += [int(rng.uniform(fault.at, fault.at + fault.lasts)) for _ in range(int(fault.amount))]
-    if rng.random() < 0.3:  # all at once, as callers come back together
+    if rng.random() < 0.3:  # a burst at one instant, as when callers reconnect together
         at = int(rng.uniform(100 * MS, duration))
         times += [at] * draw_int(rng, (5, 25))
     weights = {"free": 1.0, "guarded": ranges.referenced, "single_shot": ranges.once_only}
@@ -455,7 +455,7 @@
                 round(draw_log_uniform(rng, (2, 60)), 1),
                 patience,
                 int(draw_log_uniform(rng, ranges.work_ms) * MS),
-                # Few with more than one call: each costs as many steps as the rest of a txn.
+                # Mostly at most one call: each adds as many steps as the rest of a txn.
                 min(draw_int(rng, ranges.calls), draw_int(rng, ranges.calls)),
                 int(draw_log_uniform(rng, ranges.op_ms) * MS),
                 rng.random() < 0.5,
@@ -467,7 +467,7 @@
 def draw_faults(
     ranges: Ranges, rng: random.Random, duration: int, instances: int, callers: int
 ) -> list[Fault]:
-    """The scripted ones, and as many drawn ones as fit; one instance is not ended twice."""
+    """The scripted faults plus drawn ones; each instance is restarted at most once."""
     faults = list(ranges.scripted)
     restarted = {fault.target for fault in faults if fault.kind in RESTART_FAULTS}
     for _ in range(draw_int(rng, ranges.faults) if ranges.kinds else 0):
@@ -482,14 +482,14 @@
 
 
 def draw_calls_out(ranges: Ranges, seed: int, default: float) -> float:
-    """The share of calls in hand, from a stream of its own where the scenario sets its range."""
+    """The share of outstanding calls; drawn from a random stream of its own if the scenario sets a range."""
     if ranges.calls_out[1] <= 0:
         return default
     return round(draw_log_uniform(random.Random(f"{ranges.name}/{seed}/calls out"), ranges.calls_out), 2)
 
 
 def draw_bad_callers(ranges: Ranges, seed: int, duration: int, instances: int) -> list[Fault]:
-    """Beside the other faults, from a stream of their own: all else is drawn as it is without them."""
+    """Draws from a random stream of their own, so that all other draws are the same as without them."""
     rng = random.Random(f"{ranges.name}/{seed}/bad callers")
     faults = []
     for _ in range(draw_int(rng, ranges.bad_callers)):
@@ -544,11 +544,11 @@
     )
 
 
-# ---- what was met
+# ---- coverage
 
 
 def overlapping_fault_kinds(plan: Plan, fault_times: Sequence[tuple[Kind, int, int]]) -> set[tuple[str, str]]:
-    """Pairs of kinds whose spans overlapped in a run, a second of after-effects counted in."""
+    """Pairs of fault kinds that overlapped in a run, with one second of after-effects counted in."""
     pairs = set()
     for (one, begin, end), (other, start, stop) in combinations(fault_times, 2):
         if begin <= stop + SECOND and start <= end + SECOND:
@@ -556,7 +556,7 @@
     return pairs
 
 
-# ---- kept as text, for the corpus and for shrunk cases
+# ---- JSON, for the corpus and shrunk plans
 
 
 def to_json(plan: Plan) -> bytes:
@@ -564,7 +564,7 @@
 
 
 def from_json(data: bytes) -> Plan:
-    """ValueError, KeyError or TypeError where it is no plan."""
+    """Raises ValueError, KeyError or TypeError if the data is not a plan."""
     value = orjson.loads(data)
     return Plan(
         **value
@@ -580,21 +580,21 @@
     )
 
 
-# ---- smaller plans, for shrinking
+# ---- shrinking
 
 
 @dataclass(slots=True)
 class Shrinker:
-    """Proposes smaller plans, largest cuts first, and learns which of them still fail: a delta search over
-    faults, txns, instances and time. `next` gives a plan to try, `tell` how it went."""
+    """Delta debugging over faults, txns, instances and time, largest cuts first. `next_plan` returns a plan
+    to try, `record_result` takes its result."""
 
     best: Plan
-    broken_at: int  # microseconds from the start at which the rule broke
+    broken_at: int  # when the rule was violated, microseconds from the start
     tried: set[bytes] = field(default_factory=set)
     tries: int = 0
 
     def smaller_plans(self) -> Iterator[Plan]:
-        """In one round; begin again from the new best after each that still fails."""
+        """The candidates of one round, derived from `best`; a new round begins whenever `best` changes."""
         plan = self.best
         cutoff = self.broken_at + 1
         yield replace(
@@ -633,8 +633,8 @@
                 yield replace(plan, faults=(*plan.faults[:index], shorter, *plan.faults[index + 1 :]))
 
     def _shorter_plans(self) -> Iterator[Plan]:
-        """The same in less time: what comes before the first event cut away, or all of it at half the
-        distance."""
+        """The same events in less time: without the idle time before the first one, or with all intervals
+        scaled down."""
         plan = self.best
         times = [ask.at for ask in plan.asks] + [fault.at for fault in plan.faults]
         first = min(times, default=0)
@@ -661,13 +661,13 @@
         return None
 
     def record_result(self, plan: Plan, broken_at: int | None) -> None:
-        """`broken_at` is None where the rule held."""
+        """`broken_at` is None if the plan no longer fails."""
         if broken_at is not None:
             self.best, self.broken_at = plan, broken_at
 
 
 def with_mapped_times(plan: Plan, map_time: Callable[[int], int]) -> Plan:
-    """All times of a plan changed alike."""
+    """The plan with `map_time` applied to the times of all events."""
     return replace(
         plan,
         quiet=map_time(plan.quiet),
--- a/limeridge/sim/timeline.py
+++ b/limeridge/sim/timeline.py
@@ -1,7 +1,7 @@
-"""Virtual time: what happens next, and in which order what falls on one tick happens.
+"""Virtual time: the event queue, the clock and the order of events that are due on the same tick.
 
-It owns the queue of events, the clock in whole microseconds and the draw that orders a tick. It must never
-know what an event does, and never read a real clock: the same seed gives the same order on any machine.
+The clock counts whole microseconds; the order within a tick is drawn from the seed. This module doesn't know
+what an event does and never reads a real clock, so the same seed gives the same order on any machine.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from typing import Any
 
 SECOND = 1_000_000
-START_TIME = 100 * SECOND  # so that no time is 0, which some code takes for 'never'
+START_TIME = 100 * SECOND  # not 0, because some code uses a time of 0 to mean 'never'
 ORDER_RANGE = 1 << 20
 
 
 class Ties(Enum):
-    """How what falls on one tick is ordered."""
+    """How events on the same tick are ordered."""
 
     DRAWN = 0
     WIRE_FIRST = 1
@@ -26,19 +26,19 @@
 
 
 class Life:
-    """One process from its start to its end: it owns events, may be paused, and its events die with it."""
+    """The lifetime of one process. Its events are held while it is paused and dropped once it has ended."""
 
     __slots__ = ("alive", "born", "held", "ip", "name", "paused", "serial", "soon_at", "soon_order")
 
     def __init__(self, name: str, ip: str, serial: int = 0, born: int = START_TIME) -> None:
         self.name, self.ip, self.serial, self.born = name, ip, serial, born
         self.alive, self.paused = True, False
-        self.held: list[Event] = []  # what came to it during a pause
+        self.held: list[Event] = []  # events that came due during a pause
         self.soon_at, self.soon_order = -1, 0
 
 
 class Event:
-    """A call that is due: `life` is None for what the network itself does, which nothing can pause."""
+    """A scheduled call. `life` is None for events of the network itself, which can't be paused."""
 
     __slots__ = ("args", "call", "dead", "label", "life", "when", "wire")
 
@@ -63,8 +63,8 @@
 
 
 class Timeline:
-    """The queue. `quantum` is the grid in microseconds that all times are rounded up to: the coarser it is,
-    the more often a reply and an expiry fall on the same tick."""
+    """The event queue. All times are rounded up to a multiple of `quantum` microseconds: the coarser the
+    grid, the more often a reply and an expiry fall on the same tick."""
 
     def __init__(self, rng: random.Random, quantum: int = 1, ties: Ties = Ties.DRAWN) -> None:
         self.rng, self.quantum, self.ties = rng, quantum, ties
@@ -72,7 +72,7 @@
         self.queue: list[tuple[int, int, int, Event]] = []
         self.serial = 0
         self.steps = 0
-        self.steps_on_tick = 0  # steps since time last moved
+        self.steps_on_tick = 0  # steps since the clock last advanced
 
     def schedule(
         self,
@@ -83,7 +83,8 @@
         *args: Any,
         wire: bool = False,
     ) -> Event:
-        """What is due at once keeps its process's order, as with a real reactor; all else is drawn."""
+        """Schedules a call. Calls that a process schedules for now keep their order, as with a real reactor;
+        all other order within a tick is drawn."""
         immediate = when <= self.now
         if immediate:
             when = self.now
@@ -102,8 +103,7 @@
         return event
 
     def step(self, until: int) -> Event | None:
-        """The next event that is to be carried out by `until`, the clock moved to it; None if there is
-        none."""
+        """Advances the clock to the next event due by `until` and returns it; None if there is none."""
         queue = self.queue
         while queue and queue[0][0] <= until:
             when, _, _, event = heapq.heappop(queue)
@@ -123,7 +123,7 @@
         return None
 
     def resume(self, life: Life) -> None:
-        """All that was held falls on one tick now; what the process had put off at once comes first."""
+        """Reschedules all held events on the current tick; the process's own calls keep their order."""
         life.paused = False
         held, life.held = life.held, []
         for event in held:
@@ -138,6 +138,6 @@
 
 
 class EventHolder:
-    """Whoever keeps an event to cancel it later, and must follow it when a pause moves it."""
+    """Keeps an event to cancel it later; `event` is updated when a pause reschedules it."""
 
     event: Event
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -284,15 +284,15 @@
     with trace.Writer(path, {"seed": 5}) as writer:
         outcome = run_plan(again, writer.record)
     assert outcome.digest == run_plan(plan).digest  # listening changes nothing
-    entries = list(trace.entries(path))
+    entries = list(trace.read_entries(path))
     assert entries[-1].step == outcome.steps and trace.read_head(path)["seed"] == 5
     assert sum(entry.kind == "asked" for entry in entries) >= len(plan.asks) / 2
     assert path.stat().st_size * 4 < sum(len(str(entry)) for entry in entries)
     path.write_bytes(path.read_bytes()[:500])
-    with pytest.raises(trace.Bad, match=r"5\.trace: expected a whole trace"):
-        list(trace.entries(path))
+    with pytest.raises(trace.InvalidTrace, match=r"5\.trace: expected a whole trace"):
+        list(trace.read_entries(path))
     (tmp_path / "no").write_bytes(b"{}")
-    with pytest.raises(trace.Bad, match="expected a whole trace"):
+    with pytest.raises(trace.InvalidTrace, match="expected a whole trace"):
         trace.read_head(tmp_path / "no")
 
 
@@ -371,7 +371,7 @@
 
 
 def test_the_corpus_holds() -> None:
-    cases = list(corpus.cases())
+    cases = list(corpus.load_cases())
     assert cases
     for case in cases:
         outcome = run_plan(case.plan)
