--- a/limeridge/cli/sim.py
+++ b/limeridge/cli/sim.py
@@ -26,7 +26,7 @@
 from limeridge.sim.explore import Coverage, explore, run_plan, shrink
 from limeridge.sim.oracles import RULES
 from limeridge.sim.plan import Plan, Ranges, draw, from_json, to_json
-from limeridge.sim.scenario import named, names
+from limeridge.sim.scenario import load_scenario, names
 from limeridge.sim.world import Outcome
 
 HASH_SEEDS = ("0", "1", "4242")
@@ -48,7 +48,7 @@
 def plan_of(what: str, scenario: str) -> Plan:
     """A seed's plan, or the plan that a file keeps."""
     if what.isdecimal():
-        return draw(named(scenario), int(what))
+        return draw(load_scenario(scenario), int(what))
     path = Path(what)
     try:
         value = orjson.loads(path.read_bytes())
@@ -138,7 +138,7 @@
     as_json: bool,
 ) -> None:
     """Runs many seeds in parallel; failures as they come, coverage at the end."""
-    ranges = named(scenario)
+    ranges = load_scenario(scenario)
     coverage = Coverage()
     failed: list[Outcome] = []
     events = tool_log("sim", log) if log else None
@@ -165,7 +165,7 @@
     if as_json:
         click.echo(orjson.dumps(explored(coverage, failed, ranges, first, jobs)))
     else:
-        cover(coverage, jobs, ranges.kinds == named("any").kinds)
+        cover(coverage, jobs, ranges.kinds == load_scenario("any").kinds)
     ended(bool(failed))
 
 
@@ -210,7 +210,7 @@
         "instances": coverage.instances / coverage.runs,
         "least_instances": coverage.least_instances,
         "faults": coverage.faults,
-        "rules": coverage.rules(),
+        "rules": coverage.checks_by_rule(),
         "states": coverage.states,
         "pairs": {f"{a}+{b}": n for (a, b), n in coverage.all_pairs().items()},
         "failed": [{"seed": o.seed, "rule": o.rule, "what": o.what, "digest": o.digest} for o in failed],
@@ -239,7 +239,7 @@
             f"{len(pairs)} pairs of kinds, met {min(pairs.values())} times or more", highlight=False
         )
     rules = Table("rule", "judged", "broken", "what it says")
-    for rule, judged in coverage.rules().items():
+    for rule, judged in coverage.checks_by_rule().items():
         rules.add_row(
             rule, str(judged) if judged else "each step", str(coverage.broken.get(rule, 0)), RULES[rule]
         )
--- a/limeridge/sim/explore.py
+++ b/limeridge/sim/explore.py
@@ -18,7 +18,7 @@
 
 from limeridge.sim.oracles import RULES
 from limeridge.sim.plan import NON_PEER_FAULTS, Plan, Shrinker, draw
-from limeridge.sim.scenario import named
+from limeridge.sim.scenario import load_scenario
 from limeridge.sim.world import Outcome, Record, World
 
 
@@ -27,13 +27,13 @@
 
 
 def run_seed(scenario: str, seed: int, record: Record | None = None) -> Outcome:
-    return run_plan(draw(named(scenario), seed), record)
+    return run_plan(draw(load_scenario(scenario), seed), record)
 
 
 # ---- many
 
 
-def _one(job: tuple[str, int]) -> Outcome:
+def _run_job(job: tuple[str, int]) -> Outcome:
     """In a worker. What it leaves to the collector is freed every so often, outside of any run."""
     try:
         return run_seed(*job)
@@ -42,7 +42,7 @@
         return Outcome(seed, scenario, "", 0, 0, 0, "raises", what=traceback.format_exc()[-1_500:])
 
 
-def _begin() -> None:
+def _init_worker() -> None:
     gc.collect()
     gc.freeze()  # what stands now stays; each run ends with a collection
 
@@ -51,12 +51,12 @@
     """Outcomes as they come, in no order; the same seeds give the same set."""
     work = ((scenario, seed) for seed in seeds)
     if jobs <= 1:
-        yield from map(_one, work)
+        yield from map(_run_job, work)
         return
     with multiprocessing.get_context("forkserver" if os.name == "posix" else "spawn").Pool(
-        jobs, _begin
+        jobs, _init_worker
     ) as pool:
-        yield from pool.imap_unordered(_one, work, chunksize=4)
+        yield from pool.imap_unordered(_run_job, work, chunksize=4)
 
 
 @dataclass
@@ -94,7 +94,7 @@
         kinds = sorted({kind.value for kind in NON_PEER_FAULTS} | set(self.faults))
         return {pair: self.pairs.get(pair, 0) for pair in combinations(kinds, 2)}
 
-    def rules(self) -> dict[str, int]:
+    def checks_by_rule(self) -> dict[str, int]:
         return {rule: self.judged.get(rule, 0) for rule in RULES}
 
     def seconds(self) -> float:
@@ -108,21 +108,23 @@
     plan: Plan,
     outcome: Outcome,
     seconds: float,
-    most: int = 1_000_000,
-    told: Callable[[Plan, Outcome], None] | None = None,
+    max_tries: int = 1_000_000,
+    on_smaller: Callable[[Plan, Outcome], None] | None = None,
 ) -> tuple[Plan, Outcome, int]:
     """The smallest plan found in the time, or in `most` tries, that still breaks the same rule; and how many
     were tried."""
     shrinker, best = Shrinker(plan, outcome.at), outcome
     until = time.monotonic() + seconds
     while (
-        shrinker.tries < most and time.monotonic() < until and (smaller := shrinker.next_plan()) is not None
+        shrinker.tries < max_tries
+        and time.monotonic() < until
+        and (smaller := shrinker.next_plan()) is not None
     ):
         tried = run_plan(smaller)
         same = tried.rule == outcome.rule and tried.steps <= best.steps
         shrinker.record_result(smaller, tried.at if same else None)
         if same:
             best = tried
-            if told is not None:
-                told(smaller, tried)
+            if on_smaller is not None:
+                on_smaller(smaller, tried)
     return shrinker.best, best, shrinker.tries
--- a/limeridge/sim/mutants.py
+++ b/limeridge/sim/mutants.py
@@ -989,9 +989,9 @@
     """In the mutant's own process."""
     from limeridge.sim.explore import run_plan, shrink
     from limeridge.sim.plan import draw, to_json
-    from limeridge.sim.scenario import named
+    from limeridge.sim.scenario import load_scenario
 
-    plan = draw(named(scenario), seed)
+    plan = draw(load_scenario(scenario), seed)
     outcome = run_plan(plan)
     told = {"rule": outcome.rule, "digest": outcome.digest, "steps": outcome.steps}
     if seconds > 0:
--- a/limeridge/sim/oracles.py
+++ b/limeridge/sim/oracles.py
@@ -17,26 +17,26 @@
 from limeridge.sim.reactor import Closing
 from limeridge.sim.timeline import SECOND
 from limeridge.sim.wires import (
-    Answered,
-    Asked,
-    CallEnded,
-    CallMade,
-    Checked,
-    Command,
-    Dropped,
-    Farewell,
-    Garbled,
+    AnswerSent,
+    CallClosed,
+    CallSent,
+    CommandSent,
+    FarewellSent,
+    HealthCheckReceived,
+    InvalidMessage,
+    LateSenderClosed,
+    LineClosed,
     LineClosing,
-    LineEnded,
-    LineMade,
-    LinkEnded,
-    LinkMade,
-    Notice,
-    Odd,
-    Passed,
-    Replied,
-    Revoked,
-    SenderEnded,
+    LineOpened,
+    LinkClosed,
+    LinkOpened,
+    MalformedOutput,
+    NoticeReceived,
+    ReplyReceived,
+    RevokeReceived,
+    TxnReceived,
+    UnanswerableTxn,
+    WireEvent,
 )
 
 MS = 1_000
@@ -93,7 +93,7 @@
 class TxnView:
     """The state of a txn as derived from the traffic. Times in virtual microseconds."""
 
-    request: Asked
+    request: TxnReceived
     product: Product
     read_at: int
     sent_at: int
@@ -255,50 +255,50 @@
 
     # ---- traffic
 
-    def on_event(self, now: int, event: Passed) -> None:
+    def on_event(self, now: int, event: WireEvent) -> None:
         self.now = now
         match event:
-            case Notice():
-                self._on_notice(event)
-            case Command():
-                self._on_command(event)
-            case Asked():
-                self._on_asked(event)
-            case Answered():
-                self._on_answered(event)
-            case CallMade():
-                self._on_call_made(event)
-            case Replied():
-                self._on_replied(event)
-            case CallEnded():
-                self._on_call_ended(event)
-            case Revoked():
-                self._on_revoked(event)
-            case Checked():
+            case NoticeReceived():
+                self._on_notice_received(event)
+            case CommandSent():
+                self._on_command_sent(event)
+            case TxnReceived():
+                self._on_txn_received(event)
+            case AnswerSent():
+                self._on_answer_sent(event)
+            case CallSent():
+                self._on_call_sent(event)
+            case ReplyReceived():
+                self._on_reply_received(event)
+            case CallClosed():
+                self._on_call_closed(event)
+            case RevokeReceived():
+                self._on_revoke_received(event)
+            case HealthCheckReceived():
                 self.line_has_sent[event.line] = True
                 self.open_health_checks[event.line, event.id] = now
-            case LineEnded():
-                self._on_line_ended(event)
-            case LineMade():
+            case LineClosed():
+                self._on_line_closed(event)
+            case LineOpened():
                 self.line_has_sent[event.line] = False
             case LineClosing():
                 self._on_line_closing(event)
-            case Dropped():
+            case UnanswerableTxn():
                 self.unanswerable_refs.add(event.ref)
-            case SenderEnded():
-                self._on_sender_ended(event)
-            case LinkMade():
+            case LateSenderClosed():
+                self._on_late_sender_closed(event)
+            case LinkOpened():
                 self.record_event("link", "")
-            case LinkEnded():
+            case LinkClosed():
                 self.record_event("link-end", "")
-            case Odd():
+            case InvalidMessage():
                 self.nonconforming_lines[event.line] = True
-            case Farewell():
+            case FarewellSent():
                 self.record_event("farewell", "")
-            case Garbled():
+            case MalformedOutput():
                 raise RuleViolation("form", "", f"to {event.role}: {event.data!r}")
 
-    def _on_asked(self, request: Asked) -> None:
+    def _on_txn_received(self, request: TxnReceived) -> None:
         now, product = self.now, self.products[request.product]
         self.line_has_sent[request.line] = True
         if request.ref in self.txns_by_ref or (request.line, request.id) in self.txns:
@@ -307,8 +307,8 @@
         self.open_txns[request.line] = self.open_txns.get(request.line, 0) + 1
         if self.open_txns[request.line] > MAX_OPEN_TXNS:
             self.nonconforming_lines[request.line] = True
-        sent_at = request.landed_ms * MS - self.unix_offset()
-        time_limit = int(request.patience * MS)
+        sent_at = request.sent_ms * MS - self.unix_offset()
+        time_limit = int(request.time_limit_ms * MS)
         due = min(now + time_limit, sent_at + time_limit + MS)
         if now - self.clock_stepped_at < 3 * SECOND:  # its age is unknown
             due = now + time_limit
@@ -321,7 +321,7 @@
         self.judged["due"] += 1
         self.record_event("asked", request.ref)
 
-    def _on_answered(self, answer: Answered) -> None:
+    def _on_answer_sent(self, answer: AnswerSent) -> None:
         if answer.value is not None and answer.value < 0:
             raise RuleViolation("form", "", f"a value of {answer.value}")
         if answer.kind == "health":
@@ -345,8 +345,10 @@
         txn.answer_kind = answer.kind
         self.open_txns[answer.line] = self.open_txns.get(answer.line, 0) - (not txn.withdrawn)
         self.record_event(answer.kind, ref)
-        if answer.come_back < 0 or answer.come_back > 1_000:
-            raise RuleViolation("form", ref, f"retry delay of {answer.come_back} ms is not within 0 to 1000")
+        if answer.retry_delay_ms < 0 or answer.retry_delay_ms > 1_000:
+            raise RuleViolation(
+                "form", ref, f"retry delay of {answer.retry_delay_ms} ms is not within 0 to 1000"
+            )
         self._check_key(txn, answer.kind)
         if answer.kind == "settled":
             self._check_result(txn, answer.doc)
@@ -399,7 +401,7 @@
                     "key-kept", txn.request.ref, f"{kind} although its key has a stored result"
                 )
 
-    def _on_revoked(self, revoked: Revoked) -> None:
+    def _on_revoke_received(self, revoked: RevokeReceived) -> None:
         txn = self.txns.get((revoked.line, revoked.id))
         if txn is None and revoked.ref in self.txns_by_ref:
             txn = self.txns_by_ref[revoked.ref]
@@ -408,7 +410,7 @@
             self.open_txns[txn.request.line] = self.open_txns.get(txn.request.line, 0) - (not txn.answer_kind)
             self.record_event("revoke", txn.request.ref)
 
-    def _on_line_ended(self, ended: LineEnded) -> None:
+    def _on_line_closed(self, ended: LineClosed) -> None:
         nonconforming = self.nonconforming_lines.pop(ended.line, False)
         self.open_txns.pop(ended.line, None)
         self.line_has_sent.pop(ended.line, None)
@@ -419,7 +421,7 @@
             if txn.answer_kind or txn.withdrawn:
                 continue
             self.judged["one-answer"] += 1
-            if ended.by_us and not nonconforming and not ended.stalled:
+            if ended.by_instance and not nonconforming and not ended.stalled:
                 raise RuleViolation(
                     "one-answer", txn.request.ref, "its connection was closed without an answer"
                 )
@@ -435,7 +437,7 @@
         ):
             self.evicted_lines.add(closing.line)
 
-    def _on_sender_ended(self, ended: SenderEnded) -> None:
+    def _on_late_sender_closed(self, ended: LateSenderClosed) -> None:
         self.judged["crossed"] += 1
         if ended.answered:
             return
@@ -447,7 +449,7 @@
 
     # ---- runs
 
-    def _on_command(self, command: Command) -> None:
+    def _on_command_sent(self, command: CommandSent) -> None:
         event = command.event
         if event == "OPEN":
             self._on_link_open(command)
@@ -476,7 +478,7 @@
         else:
             raise RuleViolation("form", command.handle, f"unknown command {event}")
 
-    def _on_link_open(self, command: Command) -> None:
+    def _on_link_open(self, command: CommandSent) -> None:
         """Checks that a new link to the kernel resumes after the last notice read."""
         self.judged["cursor"] += 1
         self.record_event("open", "")
@@ -486,7 +488,7 @@
                 "cursor", "", f"link opened at {command.cursor}, last notice read was {self.last_cursor}"
             )
 
-    def _record_command(self, txn: TxnView, command: Command) -> bool:
+    def _record_command(self, txn: TxnView, command: CommandSent) -> bool:
         """Stores the command as the last one on its link; returns whether an earlier link carried it too."""
         text = f"{command.event} {command.arg} {command.cursor}"
         sent_before = any(sent == text for link, sent in txn.last_commands.items() if link != command.link)
@@ -495,7 +497,7 @@
         txn.last_commands[command.link] = text
         return sent_before
 
-    def _check_delivered_reply(self, txn: TxnView, command: Command, sent_before: bool) -> None:
+    def _check_delivered_reply(self, txn: TxnView, command: CommandSent, sent_before: bool) -> None:
         """Checks a reply that is delivered to its run."""
         ref = command.handle
         self.judged["reply"] += 1
@@ -505,7 +507,7 @@
             raise RuleViolation("unchanged", ref, "reply was changed or delivered to the wrong call")
         self._finish_call(txn)
 
-    def _check_skipped_call(self, txn: TxnView, command: Command, sent_before: bool) -> None:
+    def _check_skipped_call(self, txn: TxnView, command: CommandSent, sent_before: bool) -> None:
         """Checks a command that lets a run continue without its call."""
         ref = command.handle
         self.judged["left-out"] += 1
@@ -523,7 +525,7 @@
             raise RuleViolation("call-kept", ref, "call skipped although its successful reply had arrived")
         self._finish_call(txn)
 
-    def _on_sched(self, txn: TxnView, command: Command) -> None:
+    def _on_sched(self, txn: TxnView, command: CommandSent) -> None:
         ref = txn.request.ref
         self.judged["unchanged"] += 1
         if command.entry != txn.request.product or command.arg != txn.request.doc:
@@ -606,7 +608,7 @@
         txn.awaited_cursor, txn.good_reply, txn.call_body = 0, None, b""
         self._set_on_cores(txn, True)
 
-    def _on_notice(self, notice: Notice) -> None:
+    def _on_notice_received(self, notice: NoticeReceived) -> None:
         if notice.link != self.current_link or notice.cursor != self.last_cursor + 1:
             return  # from an old link, or a duplicate
         self.last_cursor = notice.cursor
@@ -628,7 +630,7 @@
 
     # ---- calls
 
-    def _on_call_made(self, call: CallMade) -> None:
+    def _on_call_sent(self, call: CallSent) -> None:
         txn = self.txns_by_ref.get(call.ref)
         if txn is None:
             raise RuleViolation("form", call.ref, "call for an unknown txn")
@@ -652,7 +654,7 @@
         self.open_calls[call.line] = OutstandingCall(txn, txn.awaited_cursor, self.now, call.wait_ms * MS)
         self._check_call_limits()
 
-    def _on_replied(self, reply: Replied) -> None:
+    def _on_reply_received(self, reply: ReplyReceived) -> None:
         call = self.open_calls.get(reply.line)
         if call is None or call.replied:
             return
@@ -667,7 +669,7 @@
         elif reply.status in (503, 409) and reply.not_begun:
             txn.call_repeatable = True
 
-    def _on_call_ended(self, ended: CallEnded) -> None:
+    def _on_call_closed(self, ended: CallClosed) -> None:
         call = self.open_calls.pop(ended.line, None)
         if call is None:
             return
@@ -684,7 +686,7 @@
                 call.txn.request.ref,
                 f"abandoned {overrun / MS:.0f} ms after its announced time limit",
             )
-        end = call.replied_at if call.replied else self.now + ABANDONED_CALL_LINGER * ended.by_us
+        end = call.replied_at if call.replied else self.now + ABANDONED_CALL_LINGER * ended.by_instance
         self.ended_calls.append((call.begun_at, end))
 
     def _check_call_limits(self) -> None:
--- a/limeridge/sim/scenario.py
+++ b/limeridge/sim/scenario.py
@@ -27,7 +27,7 @@
 )
 from limeridge.sim.timeline import Ties
 
-USUAL = Ranges()
+DEFAULTS = Ranges()
 FOLDER = Path(__file__).parent / "scenarios"
 LIMITS: dict[str, tuple[float, float]] = {
     "instances": (1, 230),  # each has an address of its own in 127.0.20.0 and up
@@ -83,12 +83,12 @@
     for number, kind in enumerate(message.kinds):
         if kind == pb.NONE:
             raise checked.refuse(f"kinds[{number}]", "expected a kind of fault")
-        _check_among(message, kind, f"kinds[{number}]", checked)
+        _check_peer_fault(message, kind, f"kinds[{number}]", checked)
     for number, fault in enumerate(message.fault):
         _check_fault(message, fault, f"fault[{number}]", checked)
 
 
-def _check_among(message: pb.Scenario, kind: Any, path: str, checked: Checked) -> None:
+def _check_peer_fault(message: pb.Scenario, kind: Any, path: str, checked: Checked) -> None:
     if Kind[pb.FaultKind.Name(kind)] in PEER_FAULTS and not message.peers:
         raise checked.refuse(path, "expected `peers: true` beside a fault among peers")
 
@@ -96,9 +96,9 @@
 def _check_fault(message: pb.Scenario, fault: pb.Fault, path: str, checked: Checked) -> None:
     if fault.kind == pb.NONE:
         raise checked.refuse(f"{path}.kind", "expected a kind of fault")
-    _check_among(message, fault.kind, f"{path}.kind", checked)
+    _check_peer_fault(message, fault.kind, f"{path}.kind", checked)
     kind = Kind[pb.FaultKind.Name(fault.kind)]
-    seconds = message.seconds.most if message.HasField("seconds") else USUAL.seconds[1]
+    seconds = message.seconds.most if message.HasField("seconds") else DEFAULTS.seconds[1]
     checked.number(f"{path}.at_ms", fault.at_ms, 0, seconds * 1_000)
     checked.number(f"{path}.lasts_ms", fault.lasts_ms, 0, 600_000)
     checked.number(f"{path}.lag_ms", fault.lag_ms, 0, 600_000)
@@ -129,7 +129,7 @@
 def ranges_of(message: pb.Scenario) -> Ranges:
     def within(name: str) -> Range:
         if not message.HasField(name):
-            usual: Range = getattr(USUAL, name)
+            usual: Range = getattr(DEFAULTS, name)
             return usual
         given = getattr(message, name)
         return given.least, given.most
@@ -137,9 +137,9 @@
     return Ranges(
         name=message.name,
         **{name: within(name) for name in LIMITS},
-        kinds=tuple(Kind[pb.FaultKind.Name(kind)] for kind in message.kinds) or USUAL.kinds,
+        kinds=tuple(Kind[pb.FaultKind.Name(kind)] for kind in message.kinds) or DEFAULTS.kinds,
         scripted=tuple(each for fault in message.fault for each in faults_of(fault)),
-        quanta=tuple(message.quantum_us) or USUAL.quanta,
+        quanta=tuple(message.quantum_us) or DEFAULTS.quanta,
         ties=Ties(message.ties),
         triggered=message.triggered,
         cold=message.cold,
@@ -170,7 +170,7 @@
 
 
 @cache
-def named(name: str) -> Ranges:
+def load_scenario(name: str) -> Ranges:
     """A scenario of the package by its name, or a file by its path. Raises Unusable."""
     path = Path(name) if "/" in name or name.endswith(".txtpb") else FOLDER / f"{name}.txtpb"
     if not path.exists() and path.parent == FOLDER:
--- a/limeridge/sim/wires.py
+++ b/limeridge/sim/wires.py
@@ -19,21 +19,21 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Asked:
+class TxnReceived:
     line: int
     id: int
     ref: str
     product: str
     customer: str
     key: str
-    landed_ms: int
-    patience: float
+    sent_ms: int
+    time_limit_ms: float
     size_kb: float
     doc: str
 
 
 @dataclass(slots=True, frozen=True)
-class Odd:
+class InvalidMessage:
     """A message of a caller that is no usual one; `fatal` where the framing is gone."""
 
     line: int
@@ -41,36 +41,36 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Revoked:
+class RevokeReceived:
     line: int
     id: int
     ref: str
 
 
 @dataclass(slots=True, frozen=True)
-class Checked:
+class HealthCheckReceived:
     line: int
     id: int
 
 
 @dataclass(slots=True, frozen=True)
-class Answered:
+class AnswerSent:
     line: int
     id: int | None
     kind: str  # settled, declined, voided, health
     doc: str
-    come_back: float
+    retry_delay_ms: float
     ready: bool
     value: float | None
 
 
 @dataclass(slots=True, frozen=True)
-class Farewell:
+class FarewellSent:
     line: int
 
 
 @dataclass(slots=True, frozen=True)
-class LineMade:
+class LineOpened:
     line: int
 
 
@@ -83,7 +83,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Dropped:
+class UnanswerableTxn:
     """A request that was read behind the instance's own end of the stream: it can't be answered any more."""
 
     line: int
@@ -91,7 +91,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class SenderEnded:
+class LateSenderClosed:
     """A caller that sent a request as its connection was ended has heard of the end: read off its own end."""
 
     line: int
@@ -103,14 +103,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class LineEnded:
+class LineClosed:
     line: int
-    by_us: bool
+    by_instance: bool
     stalled: bool
 
 
 @dataclass(slots=True, frozen=True)
-class Command:
+class CommandSent:
     link: int
     event: str
     handle: str
@@ -121,7 +121,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Notice:
+class NoticeReceived:
     link: int
     event: str
     cursor: int
@@ -132,17 +132,17 @@
 
 
 @dataclass(slots=True, frozen=True)
-class LinkMade:
+class LinkOpened:
     link: int
 
 
 @dataclass(slots=True, frozen=True)
-class LinkEnded:
+class LinkClosed:
     link: int
 
 
 @dataclass(slots=True, frozen=True)
-class CallMade:
+class CallSent:
     line: int
     ref: str
     wait_ms: int
@@ -150,7 +150,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Replied:
+class ReplyReceived:
     line: int
     status: int  # 0 where it can't be read
     not_begun: bool
@@ -158,43 +158,43 @@
 
 
 @dataclass(slots=True, frozen=True)
-class CallEnded:
+class CallClosed:
     line: int
-    by_us: bool
+    by_instance: bool
 
 
 @dataclass(slots=True, frozen=True)
-class Garbled:
+class MalformedOutput:
     """What the instance wrote is not of its protocol."""
 
     role: str
     data: bytes
 
 
-Passed = (
-    Asked
-    | Odd
-    | Revoked
-    | Checked
-    | Answered
-    | Farewell
-    | LineMade
+WireEvent = (
+    TxnReceived
+    | InvalidMessage
+    | RevokeReceived
+    | HealthCheckReceived
+    | AnswerSent
+    | FarewellSent
+    | LineOpened
     | LineClosing
-    | Dropped
-    | SenderEnded
-    | LineEnded
-    | Command
-    | Notice
-    | LinkMade
-    | LinkEnded
-    | CallMade
-    | Replied
-    | CallEnded
-    | Garbled
+    | UnanswerableTxn
+    | LateSenderClosed
+    | LineClosed
+    | CommandSent
+    | NoticeReceived
+    | LinkOpened
+    | LinkClosed
+    | CallSent
+    | ReplyReceived
+    | CallClosed
+    | MalformedOutput
 )
 
 
-class Wire:
+class Connection:
     """Both directions of one connection, what is not whole yet kept."""
 
     __slots__ = ("called", "closing", "dead", "into", "out", "role", "serial")
@@ -207,17 +207,17 @@
 
 
 class Recorder:
-    """The tap of one instance's life. `tell` gets each event as it passes."""
+    """The tap of one instance's life. `on_event` gets each event as it passes."""
 
     def __init__(
         self,
         products: frozenset[str],
         kernel: frozenset[tuple[str, int]],
         ledger: frozenset[tuple[str, int]],
-        tell: Callable[[Passed], None],
+        on_event: Callable[[WireEvent], None],
     ) -> None:
-        self.products, self.kernel, self.ledger, self.tell = products, kernel, ledger, tell
-        self.wires: dict[int, Wire] = {}
+        self.products, self.kernel, self.ledger, self.on_event = products, kernel, ledger, on_event
+        self.connections: dict[int, Connection] = {}
 
     # ---- Tap
 
@@ -234,96 +234,98 @@
             if peer in self.ledger
             else "?"
         )
-        self.wires[socket.serial] = Wire(role, socket.serial)
+        self.connections[socket.serial] = Connection(role, socket.serial)
         if role == "kernel":
-            self.tell(LinkMade(socket.serial))
+            self.on_event(LinkOpened(socket.serial))
         elif role == "caller":
-            self.tell(LineMade(socket.serial))
+            self.on_event(LineOpened(socket.serial))
 
     def read(self, socket: Socket, data: bytes) -> None:
-        wire = self.wires[socket.serial]
-        if wire.dead or wire.role == "other":
+        connection = self.connections[socket.serial]
+        if connection.dead or connection.role == "other":
             return
-        wire.into += data
-        if wire.role == "caller":
-            self._frames_in(wire)
-        elif wire.role == "kernel":
-            *lines, wire.into = wire.into.split(b"\n")
+        connection.into += data
+        if connection.role == "caller":
+            self._parse_incoming_frames(connection)
+        elif connection.role == "kernel":
+            *lines, connection.into = connection.into.split(b"\n")
             for line in lines:
-                self._notice(wire, line)
+                self._parse_notice(connection, line)
         else:
-            self._reply(wire)
+            self._parse_reply(connection)
 
     def wrote(self, socket: Socket, data: bytes) -> None:
-        wire = self.wires[socket.serial]
-        if wire.role == "other":
+        connection = self.connections[socket.serial]
+        if connection.role == "other":
             return
-        wire.out += data
-        if wire.role == "caller":
-            self._frames_out(wire)
-        elif wire.role == "kernel":
-            *lines, wire.out = wire.out.split(b"\n")
+        connection.out += data
+        if connection.role == "caller":
+            self._parse_outgoing_frames(connection)
+        elif connection.role == "kernel":
+            *lines, connection.out = connection.out.split(b"\n")
             for line in lines:
-                self._command(wire, line)
+                self._parse_command(connection, line)
         else:
-            self._call(wire)
+            self._parse_call(connection)
 
     def closing(self, socket: Socket, how: Closing) -> None:
-        wire = self.wires[socket.serial]
-        if wire.role == "caller":
-            wire.closing = True
-            self.tell(LineClosing(wire.serial, how))
-
-    def closed(self, socket: Socket, by_us: bool) -> None:
-        wire = self.wires.pop(socket.serial)
-        if wire.role == "caller":
-            self.tell(LineEnded(wire.serial, by_us, socket.producer_paused))
-        elif wire.role == "kernel":
-            self.tell(LinkEnded(wire.serial))
-        elif wire.role != "other":
-            self.tell(CallEnded(wire.serial, by_us))
+        connection = self.connections[socket.serial]
+        if connection.role == "caller":
+            connection.closing = True
+            self.on_event(LineClosing(connection.serial, how))
+
+    def closed(self, socket: Socket, by_instance: bool) -> None:
+        connection = self.connections.pop(socket.serial)
+        if connection.role == "caller":
+            self.on_event(LineClosed(connection.serial, by_instance, socket.producer_paused))
+        elif connection.role == "kernel":
+            self.on_event(LinkClosed(connection.serial))
+        elif connection.role != "other":
+            self.on_event(CallClosed(connection.serial, by_instance))
 
     # ---- callers
 
-    def _frames_in(self, wire: Wire) -> None:
-        while not wire.dead:
-            head, found, rest = wire.into.partition(b"\r\n\r\n")
+    def _parse_incoming_frames(self, connection: Connection) -> None:
+        while not connection.dead:
+            header, found, rest = connection.into.partition(b"\r\n\r\n")
             if not found:
-                if len(wire.into) > 1_024 or not wire.into[:64].isascii():
-                    self._odd(wire, fatal=True)
+                if len(connection.into) > 1_024 or not connection.into[:64].isascii():
+                    self._report_invalid(connection, fatal=True)
                 return
-            name, _, digits = head.partition(b": ")
+            name, _, digits = header.partition(b": ")
             if name != b"Content-Length" or not digits.isdigit() or int(digits) > 16_384:
-                self._odd(wire, fatal=True)
+                self._report_invalid(connection, fatal=True)
                 return
             length = int(digits)
             if len(rest) < length:
                 return
-            wire.into = rest[length:]
-            self._message(wire, rest[:length])
+            connection.into = rest[length:]
+            self._parse_message(connection, rest[:length])
 
-    def _odd(self, wire: Wire, fatal: bool) -> None:
-        wire.dead = wire.dead or fatal
-        self.tell(Odd(wire.serial, fatal))
+    def _report_invalid(self, connection: Connection, fatal: bool) -> None:
+        connection.dead = connection.dead or fatal
+        self.on_event(InvalidMessage(connection.serial, fatal))
 
-    def _message(self, wire: Wire, body: bytes) -> None:
+    def _parse_message(self, connection: Connection, body: bytes) -> None:
         try:
             value = orjson.loads(body)
             method, params = value["method"], value.get("params", {})
             if value["jsonrpc"] != "2.0":
                 raise ValueError
             if method == "revoke":
-                self.tell(Revoked(wire.serial, int(params.get("id", 0)), str(params.get("i", ""))))
+                self.on_event(
+                    RevokeReceived(connection.serial, int(params.get("id", 0)), str(params.get("i", "")))
+                )
             elif method == "heartbeat" and value["id"] >= 1:
-                self.tell(Checked(wire.serial, value["id"]))
+                self.on_event(HealthCheckReceived(connection.serial, value["id"]))
             elif method in self.products and value["id"] >= 1 and len(params["i"]) == 16:
                 base64.b64decode(params["doc"], validate=True)
-                if wire.closing:
-                    self.tell(Dropped(wire.serial, params["i"]))
+                if connection.closing:
+                    self.on_event(UnanswerableTxn(connection.serial, params["i"]))
                     return
-                self.tell(
-                    Asked(
-                        wire.serial,
+                self.on_event(
+                    TxnReceived(
+                        connection.serial,
                         value["id"],
                         params["i"],
                         method,
@@ -338,36 +340,36 @@
             else:
                 raise ValueError
         except (ValueError, KeyError, TypeError, AttributeError, binascii.Error):
-            self._odd(wire, fatal=False)
+            self._report_invalid(connection, fatal=False)
 
-    def _frames_out(self, wire: Wire) -> None:
-        while wire.out:
-            head, found, rest = wire.out.partition(b"\r\n\r\n")
-            name, _, digits = head.partition(b": ")
+    def _parse_outgoing_frames(self, connection: Connection) -> None:
+        while connection.out:
+            header, found, rest = connection.out.partition(b"\r\n\r\n")
+            name, _, digits = header.partition(b": ")
             if not found or name != b"Content-Length" or not digits.isdigit():
-                self.tell(Garbled("caller", wire.out[:80]))
-                wire.out = b""
+                self.on_event(MalformedOutput("caller", connection.out[:80]))
+                connection.out = b""
                 return
             length = int(digits)
             if len(rest) < length:
                 return
-            wire.out = rest[length:]
-            self._answer(wire, rest[:length])
+            connection.out = rest[length:]
+            self._parse_answer(connection, rest[:length])
 
-    def _answer(self, wire: Wire, body: bytes) -> None:
+    def _parse_answer(self, connection: Connection, body: bytes) -> None:
         try:
             value = orjson.loads(body)
             if value.get("method") == "farewell":
-                self.tell(Farewell(wire.serial))
+                self.on_event(FarewellSent(connection.serial))
                 return
             result, error = value.get("result"), value.get("error")
             if (result is None) == (error is None) or value["jsonrpc"] != "2.0":
                 raise ValueError
             if result is not None:
                 kind = "health" if "ready" in result else "settled"
-                self.tell(
-                    Answered(
-                        wire.serial,
+                self.on_event(
+                    AnswerSent(
+                        connection.serial,
                         value["id"],
                         kind,
                         result.get("doc", ""),
@@ -378,9 +380,9 @@
                 )
                 return
             data = error.get("data") or {}
-            self.tell(
-                Answered(
-                    wire.serial,
+            self.on_event(
+                AnswerSent(
+                    connection.serial,
                     value["id"],
                     "declined" if error["code"] == -32008 else "voided",
                     "",
@@ -390,16 +392,16 @@
                 )
             )
         except (ValueError, KeyError, TypeError, AttributeError):
-            self.tell(Garbled("caller", body[:80]))
+            self.on_event(MalformedOutput("caller", body[:80]))
 
     # ---- the kernel
 
-    def _command(self, wire: Wire, line: bytes) -> None:
+    def _parse_command(self, connection: Connection, line: bytes) -> None:
         try:
             value = orjson.loads(line)
-            self.tell(
-                Command(
-                    wire.serial,
+            self.on_event(
+                CommandSent(
+                    connection.serial,
                     value["event"],
                     value.get("handle", ""),
                     value.get("entry", ""),
@@ -409,13 +411,13 @@
                 )
             )
         except (ValueError, KeyError, TypeError):
-            self.tell(Garbled("kernel", line[:80]))
+            self.on_event(MalformedOutput("kernel", line[:80]))
 
-    def _notice(self, wire: Wire, line: bytes) -> None:
+    def _parse_notice(self, connection: Connection, line: bytes) -> None:
         value: dict[str, Any] = orjson.loads(line)
-        self.tell(
-            Notice(
-                wire.serial,
+        self.on_event(
+            NoticeReceived(
+                connection.serial,
                 value["event"],
                 value.get("cursor", 0),
                 value.get("handle", ""),
@@ -427,40 +429,46 @@
 
     # ---- the ledger
 
-    def _call(self, wire: Wire) -> None:
-        head, found, body = wire.out.partition(b"\r\n\r\n")
+    def _parse_call(self, connection: Connection) -> None:
+        header, found, body = connection.out.partition(b"\r\n\r\n")
         if not found:
             return
-        first, *lines = head.split(b"\r\n")
+        first, *lines = header.split(b"\r\n")
         fields = {name.lower(): value for name, _, value in (line.partition(b": ") for line in lines)}
         try:
             if first != b"POST /records/op HTTP/1.1" or b"host" not in fields:
                 raise ValueError
             if len(body) < int(fields[b"content-length"]):
                 return
-            wire.out = b""
-            if wire.called or len(body) > int(fields[b"content-length"]):
+            connection.out = b""
+            if connection.called or len(body) > int(fields[b"content-length"]):
                 raise ValueError
-            wire.called = True
-            self.tell(CallMade(wire.serial, fields[b"op-of"].decode(), int(fields[b"op-wait-ms"]), body))
+            connection.called = True
+            self.on_event(
+                CallSent(connection.serial, fields[b"op-of"].decode(), int(fields[b"op-wait-ms"]), body)
+            )
         except (ValueError, KeyError):
-            self.tell(Garbled("ledger", head[:80]))
+            self.on_event(MalformedOutput("ledger", header[:80]))
 
-    def _reply(self, wire: Wire) -> None:
-        head, found, body = wire.into.partition(b"\r\n\r\n")
+    def _parse_reply(self, connection: Connection) -> None:
+        header, found, body = connection.into.partition(b"\r\n\r\n")
         if not found:
-            if not b"HTTP/1.".startswith(wire.into[:7]):
-                wire.dead = True
-                self.tell(Replied(wire.serial, 0, False, b""))
+            if not b"HTTP/1.".startswith(connection.into[:7]):
+                connection.dead = True
+                self.on_event(ReplyReceived(connection.serial, 0, False, b""))
             return
-        first, *lines = head.split(b"\r\n")
+        first, *lines = header.split(b"\r\n")
         fields = {name.lower(): value for name, _, value in (line.partition(b": ") for line in lines)}
         digits = first[9:12]
         if not first.startswith(b"HTTP/1.1 ") or not digits.isdigit() or b"content-length" not in fields:
-            wire.dead = True
-            self.tell(Replied(wire.serial, 0, False, b""))
+            connection.dead = True
+            self.on_event(ReplyReceived(connection.serial, 0, False, b""))
             return
         length = int(fields[b"content-length"])
         if len(body) >= length:
-            wire.dead = True
-            self.tell(Replied(wire.serial, int(digits), fields.get(b"op-not-begun") == b"1", body[:length]))
+            connection.dead = True
+            self.on_event(
+                ReplyReceived(
+                    connection.serial, int(digits), fields.get(b"op-not-begun") == b"1", body[:length]
+                )
+            )
--- a/limeridge/sim/world.py
+++ b/limeridge/sim/world.py
@@ -50,7 +50,7 @@
 )
 from limeridge.sim.reactor import Network, Reactor, Socket
 from limeridge.sim.timeline import SECOND, START_TIME, Life, Timeline
-from limeridge.sim.wires import Passed, Recorder
+from limeridge.sim.wires import Recorder, WireEvent
 from limeridge.standins.callers import Habit, Rude, RudeWay, Stub, Want
 from limeridge.standins.kernel import Kernel
 from limeridge.standins.ledger import Ledger
@@ -128,7 +128,7 @@
         world, plan, now = self.world, self.world.plan, self.world.timeline.now
         self.lives += 1
         self.left = False
-        world.bad_callers.born(self)
+        world.bad_callers.on_instance_start(self)
         kernel_life = self.kernel_life = Life(f"k{self.number}", kernel_ip(self.number), self.lives, now)
         self.kernel_reactor = Reactor(world.network, kernel_life, world.broken_standin)
         boot = plan.boot / SECOND
@@ -290,13 +290,13 @@
 
     # ---- what is heard
 
-    def see(self, event: Passed) -> None:
+    def see(self, event: WireEvent) -> None:
         try:
             self.oracles.turn = self.world.timeline.steps
             self.oracles.on_event(self.world.timeline.now, event)
         except RuleViolation as broken:
             self.broke(broken)
-        self.world.bad_callers.seen(self, event)
+        self.world.bad_callers.on_event(self, event)
 
     def logged(self, line: bytes) -> int:
         if self.world.record is not None:
@@ -558,7 +558,7 @@
         life = machine.lives
         kill_at = self.timeline.now + self.plan.stop
         self.last_heal = max(self.last_heal, kill_at + self.plan.boot)
-        self.bad_callers.leaving(machine)
+        self.bad_callers.on_drain_notice(machine)
 
         def kill() -> None:
             if machine.lives == life:
@@ -720,7 +720,7 @@
         machine = self.alive(fault)
         if machine is None:
             return False
-        self.bad_callers.rest(machine, max(1, int(fault.amount)))
+        self.bad_callers.connect_idle_callers(machine, max(1, int(fault.amount)))
         return None
 
     def _clock_step(self, fault: Fault) -> Any:
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -21,7 +21,7 @@
 
 from limeridge.sim.explore import run_plan
 from limeridge.sim.plan import SECOND, Fault, Kind, draw
-from limeridge.sim.scenario import named
+from limeridge.sim.scenario import load_scenario
 
 STEP = 10_000  # microseconds of each simulation step
 RESTART_DELAY = 10_000  # microseconds from the kill to the successor's start
@@ -60,7 +60,7 @@
 @pytest.mark.parametrize("case", CASES)
 def test_calls_of_all_lives_stay_within_one_share_in_the_simulation(case: str) -> None:
     changes, seeds = CASES[case]
-    ranges = replace(named("restart-small-share"), **changes)
+    ranges = replace(load_scenario("restart-small-share"), **changes)
     outcomes = [run_plan(draw(ranges, seed)) for seed in seeds]
     assert all(outcome.judged["call-limit-lives"] for outcome in outcomes)
     broken = [f"{outcome.seed}: {outcome.rule}: {outcome.what}" for outcome in outcomes if outcome.rule]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -8,7 +8,7 @@
 from limeridge.settings.generate import HERE, generate
 from limeridge.settings.load import Unusable, load, parse, places
 from limeridge.sim.plan import Kind
-from limeridge.sim.scenario import check, named, names, ranges_of
+from limeridge.sim.scenario import check, load_scenario, names, ranges_of
 
 # a remark\ninstances { least: 2 most: 3 }\nfault { kind: KILL at_ms: 5 target: 1 amount: 0.5 }\n'
 GOOD = """name: "x"  # a remark
@@ -29,7 +29,7 @@
 def test_scenarios_of_the_package_are_good() -> None:
     assert "any" in names() and len(names()) >= 10
     for name in names():
-        assert named(name).name == name
+        assert load_scenario(name).name == name
     ranges = ranges_of(parse("f", GOOD, pb.Scenario(), check))
     assert ranges.instances == (2, 3)
     assert ranges.scripted[0].kind is Kind.KILL and ranges.scripted[0].at == 5_000
@@ -90,7 +90,7 @@
     with pytest.raises(Unusable, match="expected UTF-8, got byte 255 at 7"):
         load(str(tmp_path / "x.txtpb"), pb.Scenario())
     with pytest.raises(Unusable, match="expected a scenario's name"):
-        named("nothing-like-it")
+        load_scenario("nothing-like-it")
 
 
 def test_places_of_fields() -> None:
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -23,20 +23,20 @@
 from limeridge.sim.oracles import RULES, Oracles, RuleViolation
 from limeridge.sim.plan import Fault, Kind, Plan, Product, Ranges, draw, from_json, to_json
 from limeridge.sim.reactor import Closing, Network, Reactor
-from limeridge.sim.scenario import named, names
+from limeridge.sim.scenario import load_scenario, names
 from limeridge.sim.timeline import SECOND, START_TIME, Life, Ties, Timeline
 from limeridge.sim.wires import (
-    Answered,
-    Asked,
-    CallMade,
-    Command,
-    Dropped,
+    AnswerSent,
+    CallSent,
+    CommandSent,
+    LateSenderClosed,
     LineClosing,
-    LineMade,
-    Notice,
-    Replied,
-    Revoked,
-    SenderEnded,
+    LineOpened,
+    NoticeReceived,
+    ReplyReceived,
+    RevokeReceived,
+    TxnReceived,
+    UnanswerableTxn,
 )
 from limeridge.sim.world import World
 
@@ -277,9 +277,9 @@
 
 
 def test_a_plan_is_kept_as_text_and_its_run_as_a_trace(tmp_path: Path) -> None:
-    plan = draw(named("any"), 5)
+    plan = draw(load_scenario("any"), 5)
     again = from_json(to_json(plan))
-    assert again == plan and draw(named("any"), 5) == plan
+    assert again == plan and draw(load_scenario("any"), 5) == plan
     path = tmp_path / "5.trace"
     with trace.Writer(path, {"seed": 5}) as writer:
         outcome = run_plan(again, writer.record)
@@ -313,7 +313,7 @@
     """A share used in full up to the kill, and a successor at once: whatever the life before has used of the
     window, it may have used last."""
     ranges = replace(
-        named("restart-small-share"),
+        load_scenario("restart-small-share"),
         instances=(1, 1),
         txns=(400, 600),
         op_ms=(20, 60),
@@ -343,9 +343,9 @@
         fleets.add(outcome)
         assert not outcome.rule, f"limeridge sim replay {outcome.seed}: {outcome.rule}: {outcome.what}"
     assert set(coverage.faults) | set(fleets.faults) == {kind.value for kind in Kind}
-    assert all(fleets.rules()[rule] >= 8 for rule in ("limit", "known", "in-use", "datagram"))
+    assert all(fleets.checks_by_rule()[rule] >= 8 for rule in ("limit", "known", "in-use", "datagram"))
     assert coverage.least_instances >= 2 and coverage.txns / coverage.runs >= 130
-    judged = coverage.rules()
+    judged = coverage.checks_by_rule()
     for rule in (
         "one-answer",
         "due",
@@ -453,7 +453,7 @@
             False,
         )
         self.cursor = 0
-        self.see(Command(9, "OPEN", "", "", "", 0, ""))
+        self.see(CommandSent(9, "OPEN", "", "", "", 0, ""))
 
     def see(self, event: Any) -> None:
         self.oracles.turn += 1
@@ -466,7 +466,7 @@
     def ask(self, number: int, product: str = "look", key: str = "", **more: Any) -> str:
         ref = f"{number:016x}"
         self.see(
-            Asked(
+            TxnReceived(
                 1,
                 number,
                 ref,
@@ -482,15 +482,15 @@
         return ref
 
     def run(self, ref: str, product: str = "look", doc: str = "Ym9keQ==") -> None:
-        self.see(Command(9, "SCHED", ref, product, doc, -1, ""))
+        self.see(CommandSent(9, "SCHED", ref, product, doc, -1, ""))
 
     def note(self, event: str, ref: str, fate: str = "", arg: str = "") -> int:
         self.cursor += 1
-        self.see(Notice(9, event, self.cursor, ref, fate, arg, ""))
+        self.see(NoticeReceived(9, event, self.cursor, ref, fate, arg, ""))
         return self.cursor
 
     def answer(self, number: int, kind: str = "settled", doc: str = "") -> None:
-        self.see(Answered(1, number, kind, doc, 0.0, False, None))
+        self.see(AnswerSent(1, number, kind, doc, 0.0, False, None))
 
     def breaks(self, rule: str, *last: Any) -> None:
         call, *args = last
@@ -529,7 +529,7 @@
     book.breaks("one-answer", book.answer, 1, "declined")
     book.breaks("one-answer", book.answer, 2, "declined")
     ref = book.ask(3)
-    book.see(Revoked(1, 3, ref))
+    book.see(RevokeReceived(1, 3, ref))
     book.answer(3, "declined")  # one after the caller is gone does no harm
     book.breaks("one-answer", book.answer, 3, "declined")
     ref = book.ask(4, "pay")
@@ -554,21 +554,21 @@
     ref = book.ask(1, "pay")
     book.run(ref, "pay")
     book.note("IOREQ", ref, arg="Y2FsbA==")
-    book.breaks("unchanged", book.see, CallMade(5, ref, 100, b"other"))
-    book.see(CallMade(5, ref, 100, b"call"))
-    book.see(Replied(5, 500, False, b""))
-    book.breaks("call-twice", book.see, CallMade(6, ref, 100, b"call"))
-    book.breaks("reply", book.see, Command(9, "IODONE", ref, "", "cmVwbHk=", -1, ""))
+    book.breaks("unchanged", book.see, CallSent(5, ref, 100, b"other"))
+    book.see(CallSent(5, ref, 100, b"call"))
+    book.see(ReplyReceived(5, 500, False, b""))
+    book.breaks("call-twice", book.see, CallSent(6, ref, 100, b"call"))
+    book.breaks("reply", book.see, CommandSent(9, "IODONE", ref, "", "cmVwbHk=", -1, ""))
     book = Book()
     ref = book.ask(1)
     book.run(ref)
     cursor = book.note("IOREQ", ref, arg="Y2FsbA==")
-    book.breaks("left-out", book.see, Command(9, "NOIO", ref, "", "", cursor + 1, ""))
-    book.see(CallMade(5, ref, 100, b"call"))
-    book.see(Replied(5, 200, False, b"reply"))
-    book.breaks("unchanged", book.see, Command(9, "IODONE", ref, "", "b3RoZXI=", -1, ""))
-    book.breaks("call-kept", book.see, Command(9, "NOIO", ref, "", "", cursor, ""))
-    book.breaks("cursor", book.see, Command(10, "OPEN", "", "", "", cursor - 1, ""))
+    book.breaks("left-out", book.see, CommandSent(9, "NOIO", ref, "", "", cursor + 1, ""))
+    book.see(CallSent(5, ref, 100, b"call"))
+    book.see(ReplyReceived(5, 200, False, b"reply"))
+    book.breaks("unchanged", book.see, CommandSent(9, "IODONE", ref, "", "b3RoZXI=", -1, ""))
+    book.breaks("call-kept", book.see, CommandSent(9, "NOIO", ref, "", "", cursor, ""))
+    book.breaks("cursor", book.see, CommandSent(10, "OPEN", "", "", "", cursor - 1, ""))
 
 
 def test_oracles_of_keys() -> None:
@@ -603,17 +603,17 @@
     def resting() -> Book:
         """A book with a line whose request was answered."""
         book = Book()
-        book.see(LineMade(1))
+        book.see(LineOpened(1))
         book.ask(1)
         book.answer(1, "voided")
         return book
 
-    def late(ref: str, answered: bool = False, reset: bool = False) -> SenderEnded:
-        return SenderEnded(1, ref, silent=False, warned=True, answered=answered, reset=reset)
+    def late(ref: str, answered: bool = False, reset: bool = False) -> LateSenderClosed:
+        return LateSenderClosed(1, ref, silent=False, warned=True, answered=answered, reset=reset)
 
     book, ref = resting(), "f" * 16
     book.see(LineClosing(1, Closing.HALF))
-    book.see(Dropped(1, ref))
+    book.see(UnanswerableTxn(1, ref))
     book.see(late(ref))  # dropped, and it saw the end of the stream
     book.breaks("crossed", book.see, late(ref, reset=True))
     book.breaks("crossed", book.run, ref)
@@ -627,7 +627,7 @@
     book.breaks("crossed", book.see, late("f" * 16, reset=True))
     book = resting()
     for line in range(2, 600):
-        book.see(LineMade(line))
+        book.see(LineOpened(line))
     book.see(LineClosing(1, Closing.ABORT))
     book.see(late("f" * 16, reset=True))  # it rested on after a farewell, and its place was needed
 
@@ -655,12 +655,12 @@
         ref = book.ask(number)
         book.run(ref)
         book.note("IOREQ", ref, arg="Y2FsbA==")
-        book.see(CallMade(number, ref, 2_000, b"call"))
+        book.see(CallSent(number, ref, 2_000, b"call"))
     book.go(900_000)
     ref = book.ask(4)
     book.run(ref)
     book.note("IOREQ", ref, arg="Y2FsbA==")
-    book.breaks("call-limit", book.see, CallMade(4, ref, 2_000, b"call"))
+    book.breaks("call-limit", book.see, CallSent(4, ref, 2_000, b"call"))
     for earlier in (
         (),
         [(START_TIME - SECOND, START_TIME)] * 2,
@@ -672,12 +672,12 @@
             book.run(ref)
             book.note("IOREQ", ref, arg="Y2FsbA==")
             if number < 4:
-                book.see(CallMade(number, ref, 2_000, b"call"))
+                book.see(CallSent(number, ref, 2_000, b"call"))
         book.go(100_000)
         if earlier:
-            book.breaks("call-limit-lives", book.see, CallMade(4, ref, 2_000, b"call"))
+            book.breaks("call-limit-lives", book.see, CallSent(4, ref, 2_000, b"call"))
         else:
-            book.see(CallMade(4, ref, 2_000, b"call"))
+            book.see(CallSent(4, ref, 2_000, b"call"))
 
 
 # ---- finding and making small
@@ -697,7 +697,7 @@
         take(self, notice)
 
     monkeypatch.setattr(Kernel, "_notice", dropping)
-    plan = draw(replace(named("any"), instances=(2, 2), txns=(60, 60), faults=(2, 4)), 4)
+    plan = draw(replace(load_scenario("any"), instances=(2, 2), txns=(60, 60), faults=(2, 4)), 4)
     outcome = run_plan(plan)
     assert outcome.rule and outcome.who and outcome.recent
     smaller, best, tries = shrink(plan, outcome, seconds=600, most=60)
@@ -707,7 +707,7 @@
 
 def test_forced_ties_are_met_both_ways() -> None:
     for name, ties in (("tie-wire-first", Ties.WIRE_FIRST), ("tie-timers-first", Ties.TIMERS_FIRST)):
-        plan: Plan = draw(named(name), 1)
+        plan: Plan = draw(load_scenario(name), 1)
         assert plan.ties is ties and plan.quantum == 5_000
         world = World(plan)
         assert not world.run().rule
