--- a/limeridge/sim/bad_callers.py
+++ b/limeridge/sim/bad_callers.py
@@ -1,8 +1,8 @@
-"""The faults of bad callers whose requests are whole: copied keys, and requests that cross an end.
+"""Bad callers with well-formed requests: copied idempotency keys, and requests sent as a connection closes.
 
-It owns what such a fault must know of an instance (keys that it read lately, who rests on its connections)
-and the moment at which each request is sent. It must never judge: what the requests come to is read off the
-wires.
+This module tracks what these faults need to know of an instance (keys that it read recently, idle callers on
+its connections) and decides when each request is sent. It checks nothing: the oracles judge the outcome by
+the traffic.
 """
 
 from __future__ import annotations
@@ -23,34 +23,36 @@
 if TYPE_CHECKING:
     from limeridge.sim.world import Machine, World
 
-MAX_COPYABLE_REQUESTS = 12  # requests of an instance whose keys a bad caller may copy
-COPY_SPREAD = 60 * MS  # that one fault's copies are spread over
-CONNECT_SPREAD = 40 * MS  # that one fault's late senders connect within
-CONNECT_TIMEOUT_S = 1.0  # seconds
-SILENT_SHARE = 0.2  # of late senders that say nothing before
+MAX_COPYABLE_REQUESTS = 12  # most recent keyed requests of an instance whose keys may be copied
+COPY_SPREAD = 60 * MS  # interval over which one fault's copies are spread
+CONNECT_SPREAD = 40 * MS  # interval over which one fault's late senders connect
+CONNECT_TIMEOUT_S = 1.0
+SILENT_SHARE = 0.2  # share of late senders that send nothing before
 
 
 @dataclass(slots=True)
 class ObservedState:
-    """What bad callers know of one life of an instance."""
+    """What is known of one process lifetime of an instance."""
 
     keyed: deque[TxnReceived] = field(default_factory=lambda: deque(maxlen=MAX_COPYABLE_REQUESTS))
-    late_senders: dict[int, LateSender] = field(default_factory=dict)  # by the serial of the instance's end
+    late_senders: dict[int, LateSender] = field(
+        default_factory=dict
+    )  # by the connection serial on the instance's side
 
 
 class BadCallers:
-    """Of all machines of a world, from one stream of chance."""
+    """The bad callers of all machines of a world; they draw from one random stream."""
 
     def __init__(self, world: World, rng: random.Random) -> None:
         self.world, self.rng = world, rng
         self.observed: dict[str, ObservedState] = {}  # by the machine's name
 
     def on_instance_start(self, machine: Machine) -> None:
-        """A life begins: what was known of the one before is over."""
+        """Discards what was known of the previous process."""
         self.observed[machine.name] = ObservedState()
 
     def on_event(self, machine: Machine, event: WireEvent) -> None:
-        """Hears of each event at an instance's wires, in the very turn of the instance."""
+        """Handles an event on an instance's connections, in the same turn of its event loop."""
         observed = self.observed[machine.name]
         if isinstance(event, TxnReceived) and event.key:
             observed.keyed.append(event)
@@ -67,7 +69,7 @@
     # ---- copied keys
 
     def copy_keys(self, machine: Machine, count: int) -> bool:
-        """False where the instance has read no key yet."""
+        """Schedules the copies; returns False if the instance has read no key yet."""
         if not self.observed[machine.name].keyed:
             return False
         for _ in range(count):
@@ -76,7 +78,7 @@
         return True
 
     def _copy_key(self, machine: Machine, lifetime: int) -> None:
-        """Sends one key that the instance has read lately with another request, then its owner's repeat."""
+        """Sends a different request with a key that the instance read recently, then repeats the original."""
         if self.is_over(machine, lifetime):
             return
         request = self.rng.choice(self.observed[machine.name].keyed)
@@ -89,7 +91,7 @@
         self.connect(machine, copier)
 
     def _vary_request(self, original: Want) -> Want:
-        """The same with another body, another tenant, or both."""
+        """The same request with another body, another tenant, or both."""
         tenants = [f"c{n}" for n in range(self.world.plan.customers) if f"c{n}" != original.customer]
         changes = self.rng.choice(("body", "tenant", "both")) if tenants else "body"
         doc = original.doc if changes == "tenant" else original.doc + b" copied=1"
@@ -104,10 +106,10 @@
         expiry = product.expiry // MS
         return Want(-1, product.name, PROTOCOL_KINDS[product.kind], "", "", 2.0, expiry, expiry, doc)
 
-    # ---- requests that cross an end
+    # ---- requests sent as the connection closes
 
     def connect_idle_callers(self, machine: Machine, count: int) -> None:
-        """So many callers connect, rest, and send as their connection is ended."""
+        """Connects `count` callers that stay idle and send a request as their connection is closed."""
         for _ in range(count):
             wait = self.rng.randrange(CONNECT_SPREAD) / SECOND
             self.world.rude_reactor.callLater(wait, self._connect_late_sender, machine, machine.lives)
@@ -134,7 +136,7 @@
         self.connect(machine, LateSender(want, moment, silent, on_connected, on_closed, *common_arguments))
 
     def on_drain_notice(self, machine: Machine) -> None:
-        """The instance got its notice to leave: some aim at the moment at which it ends all connections."""
+        """Schedules the requests that are to arrive just as a draining instance closes all connections."""
         plan, timeline = self.world.plan, self.world.timeline
         senders = [
             sender
@@ -146,7 +148,7 @@
             timeline.schedule(timeline.now + close_delay, None, "parting", self._send_unread, senders)
 
     def _send_at_close(self, sender: LateSender, event: FarewellSent | LineClosing) -> None:
-        """The instance says farewell or ends a late sender's connection: what is sent now crosses that."""
+        """Sends the late request when the instance sends a farewell to its caller or closes the line."""
         awaited_moment = Moment.FAREWELL if isinstance(event, FarewellSent) else Moment.IN_THE_AIR
         if sender.moment is awaited_moment:
             self.world.rude_reactor.callLater(0, sender.send_late)
@@ -154,7 +156,7 @@
             self._send_unread([sender])
 
     def _send_unread(self, senders: list[LateSender]) -> None:
-        """What they send is in the instance's buffer at once, unread."""
+        """Sends the late requests straight into the instance's receive buffer, unread."""
         for sender in senders:
             socket = sender.transport
             sender.send_late(lambda data, to=socket: to.send_ahead(data) or to.write(data))  # type: ignore[misc]
--- a/limeridge/sim/explore.py
+++ b/limeridge/sim/explore.py
@@ -1,7 +1,6 @@
-"""Running plans: one, many in parallel, smaller ones of one that failed; and the coverage of many.
+"""Runs plans: one, or many in parallel; sums up their coverage and shrinks a failing plan.
 
-It owns processes, counting and the cutting down of a failing plan. What a run holds is the plan's, what it
-breaks the oracles'.
+This module manages worker processes and counts. The plan defines the content of a run, the oracles its rules.
 """
 
 from __future__ import annotations
@@ -30,25 +29,25 @@
     return run_plan(draw(load_scenario(scenario), seed), record)
 
 
-# ---- many
+# ---- many runs
 
 
 def _run_job(job: tuple[str, int]) -> Outcome:
-    """In a worker. What it leaves to the collector is freed every so often, outside of any run."""
+    """Runs one seed in a worker process. Its garbage is collected from time to time, outside of any run."""
     try:
         return run_seed(*job)
-    except Exception:  # of the simulator itself: the seed must not be lost with the others
+    except Exception:  # a fault of the simulator must not lose the other seeds
         scenario, seed = job
         return Outcome(seed, scenario, "", 0, 0, 0, "raises", what=traceback.format_exc()[-1_500:])
 
 
 def _init_worker() -> None:
     gc.collect()
-    gc.freeze()  # what stands now stays; each run ends with a collection
+    gc.freeze()  # exempts what exists now from the collections at the end of each run
 
 
 def explore(scenario: str, seeds: Iterable[int], jobs: int) -> Iterator[Outcome]:
-    """Outcomes as they come, in no order; the same seeds give the same set."""
+    """Yields outcomes as they complete, in no fixed order; the same seeds give the same set."""
     work = ((scenario, seed) for seed in seeds)
     if jobs <= 1:
         yield from map(_run_job, work)
@@ -61,7 +60,7 @@
 
 @dataclass
 class Coverage:
-    """What many runs held."""
+    """Totals over many runs."""
 
     runs: int = 0
     steps: int = 0
@@ -89,8 +88,8 @@
             self.broken[outcome.rule] += 1
 
     def all_pairs(self) -> dict[tuple[str, str], int]:
-        """Each pair of kinds, met or not; a kind with itself is no pair."""
-        # Faults among peers come in scenarios with peers alone.
+        """How often each pair of different fault kinds overlapped, including pairs that never did."""
+        # Peer faults occur only in scenarios with peers, so they are listed only if they occurred.
         kinds = sorted({kind.value for kind in NON_PEER_FAULTS} | set(self.faults))
         return {pair: self.pairs.get(pair, 0) for pair in combinations(kinds, 2)}
 
@@ -101,7 +100,7 @@
         return time.monotonic() - self.begun
 
 
-# ---- smaller
+# ---- shrinking
 
 
 def shrink(
@@ -111,8 +110,8 @@
     max_tries: int = 1_000_000,
     on_smaller: Callable[[Plan, Outcome], None] | None = None,
 ) -> tuple[Plan, Outcome, int]:
-    """The smallest plan found in the time, or in `most` tries, that still breaks the same rule; and how many
-    were tried."""
+    """Returns the smallest plan found within `seconds` and `max_tries` that still violates the same rule, its
+    outcome, and the number of plans tried."""
     shrinker, best = Shrinker(plan, outcome.at), outcome
     until = time.monotonic() + seconds
     while (
--- a/limeridge/sim/scenario.py
+++ b/limeridge/sim/scenario.py
@@ -1,6 +1,6 @@
-"""Scenario files: a message of settings/scenario.proto into the ranges that a plan is drawn from.
+"""Scenario files: converts a message of settings/scenario.proto to the ranges that plans are drawn from.
 
-It owns the checks of a scenario across its fields. It must never draw.
+This module validates a scenario across its fields; it draws nothing.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 DEFAULTS = Ranges()
 FOLDER = Path(__file__).parent / "scenarios"
 LIMITS: dict[str, tuple[float, float]] = {
-    "instances": (1, 230),  # each has an address of its own in 127.0.20.0 and up
+    "instances": (1, 230),  # each has an address of its own from 127.0.20.0 upwards
     "cores": (1, 64),
     "callers": (1, 200),
     "seconds": (0.2, 600),
@@ -150,7 +150,7 @@
 
 
 def faults_of(fault: pb.Fault) -> Iterator[Fault]:
-    """One for each of its targets."""
+    """One fault for each of its targets."""
     for number in range(max(1, fault.count)):
         yield fault_of(fault, number)
 
@@ -171,7 +171,7 @@
 
 @cache
 def load_scenario(name: str) -> Ranges:
-    """A scenario of the package by its name, or a file by its path. Raises Unusable."""
+    """Loads a scenario of this package by name, or a file by path. Raises Unusable."""
     path = Path(name) if "/" in name or name.endswith(".txtpb") else FOLDER / f"{name}.txtpb"
     if not path.exists() and path.parent == FOLDER:
         raise Unusable(f"{name}: expected a scenario's name ({', '.join(names())}) or a file's path")
--- a/limeridge/sim/wires.py
+++ b/limeridge/sim/wires.py
@@ -1,7 +1,7 @@
-"""What passes on an instance's wires, as typed events: read off the bytes that it reads and writes.
+"""Parses the bytes that an instance reads and writes into typed events.
 
-It owns parsers of its own, apart from the instance's and from the stand-ins'. It must never ask an instance
-anything, and never judge: oracles.py does.
+The parsers are independent of the instance's and of the stand-ins'. This module never queries an instance and
+checks no rules: oracles.py does.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, frozen=True)
 class InvalidMessage:
-    """A message of a caller that is no usual one; `fatal` where the framing is gone."""
+    """A caller sent an invalid message; `fatal` if the framing was lost."""
 
     line: int
     fatal: bool
@@ -76,7 +76,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LineClosing:
-    """The instance asked for the connection's end."""
+    """The instance began to close a caller's connection."""
 
     line: int
     how: Closing
@@ -84,7 +84,7 @@
 
 @dataclass(slots=True, frozen=True)
 class UnanswerableTxn:
-    """A request that was read behind the instance's own end of the stream: it can't be answered any more."""
+    """A request was read after the instance had closed its sending side, so it can't be answered."""
 
     line: int
     ref: str
@@ -92,7 +92,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LateSenderClosed:
-    """A caller that sent a request as its connection was ended has heard of the end: read off its own end."""
+    """A caller that sent a request as its connection closed saw it closed; observed on the caller's side."""
 
     line: int
     ref: str
@@ -152,7 +152,7 @@
 @dataclass(slots=True, frozen=True)
 class ReplyReceived:
     line: int
-    status: int  # 0 where it can't be read
+    status: int  # 0 if it can't be parsed
     not_begun: bool
     body: bytes
 
@@ -165,7 +165,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MalformedOutput:
-    """What the instance wrote is not of its protocol."""
+    """The instance wrote data that does not conform to the protocol."""
 
     role: str
     data: bytes
@@ -195,19 +195,20 @@
 
 
 class Connection:
-    """Both directions of one connection, what is not whole yet kept."""
+    """Incomplete data in both directions of one connection."""
 
     __slots__ = ("called", "closing", "dead", "into", "out", "role", "serial")
 
     def __init__(self, role: str, serial: int) -> None:
         self.role, self.serial = role, serial
         self.into, self.out = b"", b""
-        self.dead = self.called = False  # nothing more can be read off it; a call's reply was read
-        self.closing = False  # the instance asked for its end
+        self.dead = self.called = False
+        # dead: later input is ignored; called: the call was sent; closing: the instance began to close it.
+        self.closing = False
 
 
 class Recorder:
-    """The tap of one instance's life. `on_event` gets each event as it passes."""
+    """Parses the traffic of one process of an instance and passes each event to `on_event`."""
 
     def __init__(
         self,
