--- a/limeridge/sim/bad_callers.py
+++ b/limeridge/sim/bad_callers.py
@@ -64,7 +64,7 @@
         self.world.rude_reactor.connectTCP(address, 8443, ConnectOnce(caller), timeout=CONNECT_TIMEOUT_S)
 
     def is_over(self, machine: Machine, lifetime: int) -> bool:
-        return self.world.quiet or machine.lives != lifetime
+        return self.world.quiet or machine.start_count != lifetime
 
     # ---- copied keys
 
@@ -74,7 +74,7 @@
             return False
         for _ in range(count):
             wait = self.rng.randrange(COPY_SPREAD) / SECOND
-            self.world.rude_reactor.callLater(wait, self._copy_key, machine, machine.lives)
+            self.world.rude_reactor.callLater(wait, self._copy_key, machine, machine.start_count)
         return True
 
     def _copy_key(self, machine: Machine, lifetime: int) -> None:
@@ -86,7 +86,12 @@
         original = replace(original, customer=request.customer, key=request.key, size_kb=request.size_kb)
         world = self.world
         copier = KeyCopier(
-            original, self._vary_request(original), world.rude_reactor, self.rng, machine.unix, world.ended
+            original,
+            self._vary_request(original),
+            world.rude_reactor,
+            self.rng,
+            machine.unix_time,
+            world.on_txn_ended,
         )
         self.connect(machine, copier)
 
@@ -112,7 +117,7 @@
         """Connects `count` callers that stay idle and send a request as their connection is closed."""
         for _ in range(count):
             wait = self.rng.randrange(CONNECT_SPREAD) / SECOND
-            self.world.rude_reactor.callLater(wait, self._connect_late_sender, machine, machine.lives)
+            self.world.rude_reactor.callLater(wait, self._connect_late_sender, machine, machine.start_count)
 
     def _connect_late_sender(self, machine: Machine, lifetime: int) -> None:
         if self.is_over(machine, lifetime):
@@ -121,18 +126,20 @@
 
         def on_connected(sender: LateSender) -> None:
             line = sender.transport.other
-            if machine.lives == lifetime and line.reactor is machine.reactor:
+            if machine.start_count == lifetime and line.reactor is machine.reactor:
                 self.observed[machine.name].late_senders[line.serial] = sender
 
         def on_closed(sender: LateSender, reset: bool) -> None:
-            if machine.lives == lifetime and machine.instance is not None:
+            if machine.start_count == lifetime and machine.instance is not None:
                 line = sender.transport.other.serial
                 warned, answered = sender.late_warned, sender.late_answered
-                machine.see(LateSenderClosed(line, sender.late, sender.silent, warned, answered, reset))
+                machine.on_wire_event(
+                    LateSenderClosed(line, sender.late, sender.silent, warned, answered, reset)
+                )
 
         want = self._make_want(world.plan.products[0], b"work=2000 calls=0 op=0 n=-1")
         moment, silent = self.rng.choice(tuple(Moment)), self.rng.random() < SILENT_SHARE
-        common_arguments = (world.rude_reactor, self.rng, machine.unix, world.ended)
+        common_arguments = (world.rude_reactor, self.rng, machine.unix_time, world.on_txn_ended)
         self.connect(machine, LateSender(want, moment, silent, on_connected, on_closed, *common_arguments))
 
     def on_drain_notice(self, machine: Machine) -> None:
--- a/limeridge/sim/world.py
+++ b/limeridge/sim/world.py
@@ -1,7 +1,7 @@
-"""A world: machines with instances and kernels, a ledger, a node list and callers on one virtual time.
+"""Runs a plan: machines with instances and kernels, a ledger, a node list and callers on one virtual clock.
 
-It owns the carrying out of a plan: lives begun and ended, faults begun and healed, oracles fed after every
-step, and the digest. It must never decide what happens (the plan does) nor judge (the oracles do).
+This module starts and stops processes, begins and ends faults, feeds the oracles after every step and
+computes the digest. The plan decides what happens, and the oracles check the rules.
 """
 
 from __future__ import annotations
@@ -56,25 +56,26 @@
 from limeridge.standins.ledger import Ledger
 from limeridge.standins.nodelist import NodeList
 
-UNIX = 1_764_576_000 * SECOND  # Unix time at virtual time 0
-RECENT = 400  # events kept for a report
-TICK_MOST = 20_000  # steps on one tick
-LOOK = 5 * MS  # between two looks for what is overdue
+UNIX_TIME_AT_ZERO = 1_764_576_000 * SECOND  # Unix time at virtual time 0
+MAX_RECENT_EVENTS = 400  # listed in the report of a violation
+MAX_STEPS_PER_TICK = 20_000  # more count as a livelock
+DEADLINE_CHECK_INTERVAL = 5 * MS  # between two checks for missed deadlines
 KERNEL_PORTS = 7300, 7301
-DRIFT = 0.001  # of each machine's clock, where members count on it
-KNOWN = 8 * SECOND  # after the quiet point, until all members know each other and the limit is dealt out
-MOVED_AFTER = 400 * MS  # until nobody is at an address that the configuration no longer names
-SETTLE = 1_300 * MS  # after the last heal, until all must serve again
-PROBE_WAIT = 2_500 * MS
-END_WAIT = 4 * SECOND
-REPORTED = 3 * SECOND  # within which an instance that reports is on the list, whatever gets lost
-STEPS_MOST = 2_000_000
+MAX_CLOCK_DRIFT = 0.001  # of a machine's clock, as a share; members rely on this bound
+# From the quiet point until all members must know each other and the limit must be allotted.
+MEMBERSHIP_TIMEOUT = 8 * SECOND
+OLD_PORT_CLOSE_DELAY = 400 * MS  # from a reload until the kernel closes its previous port
+SETTLE_TIME = 1_300 * MS  # from the end of the last fault until all must serve again
+PROBE_TIMEOUT = 2_500 * MS
+FINAL_ANSWER_TIMEOUT = 4 * SECOND
+NODE_LIST_TIMEOUT = 3 * SECOND  # a reporting instance is listed within it despite lost reports
+MAX_STEPS = 2_000_000  # per run; more count as a livelock
 SIGHUP, SIGTERM = 1, 15
 
 
 @dataclass(slots=True)
 class Outcome:
-    """What a run came to; `at` in microseconds from its start."""
+    """The result of a run; `at` is in microseconds from its start."""
 
     seed: int
     scenario: str
@@ -98,14 +99,14 @@
 
 
 class Machine:
-    """An instance and its kernel, through all their lives."""
+    """An instance and its kernel, across restarts."""
 
     def __init__(self, world: World, number: int) -> None:
         self.world, self.number, self.name = world, number, f"n{number}"
-        self.lives = 0
-        self.offset = 0  # of Unix time, microseconds
-        self.moved = False
-        self.file = orjson.dumps(world.plan.config(number))
+        self.start_count = 0
+        self.unix_offset = 0  # microseconds
+        self.uses_alternate_addresses = False
+        self.config_file = orjson.dumps(world.plan.config(number))
         self.life: Life | None = None
         self.kernel_life: Life
         self.instance: Instance | None = None
@@ -115,78 +116,84 @@
         self.kernel_reactor: Reactor
         self.paused = 0
         self.speed = 1.0
-        self.doubled = 0.0
-        self.left = False
-        self.link: Any = None  # to the other members
-        self.drift = world.chance(f"drift {number}").uniform(-DRIFT, DRIFT)
-        self.calls_before: list[tuple[int, int]] = []  # begins and ends of calls of lives that are over
-        self.armed: list[list[Any]] = []  # faults that wait for an event: fault, how many are still to come
+        self.duplicate_notice_share = 0.0
+        self.draining = False
+        self.peer_link: Any = None  # to the peers
+        self.drift = world.rng_for(f"drift {number}").uniform(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT)
+        self.earlier_calls: list[tuple[int, int]] = []  # begin and end of the calls of previous processes
+        self.triggered_faults: list[list[Any]] = []  # waiting for events: fault, number of events remaining
 
-    # ---- lives
+    # ---- start and end
 
     def start(self, cold: bool) -> None:
         world, plan, now = self.world, self.world.plan, self.world.timeline.now
-        self.lives += 1
-        self.left = False
+        self.start_count += 1
+        self.draining = False
         world.bad_callers.on_instance_start(self)
-        kernel_life = self.kernel_life = Life(f"k{self.number}", kernel_ip(self.number), self.lives, now)
+        kernel_life = self.kernel_life = Life(
+            f"k{self.number}", kernel_ip(self.number), self.start_count, now
+        )
         self.kernel_reactor = Reactor(world.network, kernel_life, world.broken_standin)
         boot = plan.boot / SECOND
         self.kernel = Kernel(
             self.kernel_reactor,
             plan.cores,
-            world.chance(f"kernel {self.number} {self.lives}"),
-            world.over.__contains__,
+            world.rng_for(f"kernel {self.number} {self.start_count}"),
+            world.finished_refs.__contains__,
             boot=boot,
             cold=cold,
             memory_kb=plan.memory_kb,
         )
-        self.kernel.misled = lambda ref: self.broke(
-            RuleViolation("reply", ref, "the kernel took a reply for another call")
+        self.kernel.misled = lambda ref: self.report_violation(
+            RuleViolation("reply", ref, "the kernel accepted a reply to another call")
         )
-        self.kernel.speed, self.kernel.doubled = self.speed, self.doubled
+        self.kernel.speed, self.kernel.doubled = self.speed, self.duplicate_notice_share
         for port in KERNEL_PORTS:
             self.kernel_reactor.listenTCP(port, self.kernel)
-        config = orjson.loads(self.file) if self.whole() else plan.config(self.number, self.moved)
+        config = (
+            orjson.loads(self.config_file)
+            if self.config_is_valid()
+            else plan.config(self.number, self.uses_alternate_addresses)
+        )
         config["settings"]["familyInfo"]["justStarted"] = cold
-        config["seed"] = plan.config(self.number, lifetime=self.lives)["seed"]
-        self.file = orjson.dumps(config)
-        self.life = Life(self.name, instance_ip(self.number), self.lives, now)
+        config["seed"] = plan.config(self.number, lifetime=self.start_count)["seed"]
+        self.config_file = orjson.dumps(config)
+        self.life = Life(self.name, instance_ip(self.number), self.start_count, now)
         self.oracles = Oracles(
             plan,
             now,
-            lambda: UNIX + self.offset,
+            lambda: UNIX_TIME_AT_ZERO + self.unix_offset,
             lambda: bool(self.paused),
-            self.note,
+            self.record_event,
             world.judged,
             now + plan.boot,
             cold,
-            self.calls_before,
+            self.earlier_calls,
         )
         tap = Recorder(
             frozenset(product.name for product in plan.products),
             frozenset((kernel_ip(self.number), port) for port in KERNEL_PORTS),
             frozenset((LEDGER_IP, port) for port in (8900, 8901)),
-            self.see,
+            self.on_wire_event,
         )
-        self.reactor = Reactor(world.network, self.life, self.fault, tap, plan.sockets)
-        self.reactor.stopped = self.exited
-        log = Log(self.name, clock=self.reactor.seconds, unix=self.unix, write=self.logged)
+        self.reactor = Reactor(world.network, self.life, self.log_failure, tap, plan.sockets)
+        self.reactor.stopped = self.on_exit
+        log = Log(self.name, clock=self.reactor.seconds, unix=self.unix_time, write=self.write_log)
 
         def reread(before: Any, now: int) -> Any:
-            return reading("config", lambda _: [self.file], before, now)
+            return reading("config", lambda _: [self.config_file], before, now)
 
-        setup = read("config", lambda _: [self.file])
-        self.instance = Instance(setup, self.reactor, log, reread, self.unix)
+        setup = read("config", lambda _: [self.config_file])
+        self.instance = Instance(setup, self.reactor, log, reread, self.unix_time)
         if plan.fleet is not None:
-            self.link = self.linked(plan.fleet, log)
-            self.instance.attach_peers(self.link)
+            self.peer_link = self.make_peer_link(plan.fleet, log)
+            self.instance.attach_peers(self.peer_link)
         self.reactor.callWhenRunning(self.instance.start)
         if self.paused:
             self.life.paused = kernel_life.paused = True
 
-    def linked(self, fleet: Fleet, log: Log) -> Any:
-        """The part of membership, on the clock of this machine."""
+    def make_peer_link(self, fleet: Fleet, log: Log) -> Any:
+        """Builds the membership link, which uses the drifting clock of this machine."""
         from limeridge.peers.link import Link
         from limeridge.peers.messages import key_of
         from limeridge.peers.peer import Habits
@@ -203,7 +210,7 @@
             lease=fleet.lease,
             longest=max(product.expiry for product in plan.products) + fleet.linger,
             settle=fleet.settle,
-            drift=DRIFT,
+            drift=MAX_CLOCK_DRIFT,
         )
         peers = PeerSetup(
             ("", PEER_PORT),
@@ -217,88 +224,91 @@
             fleet.linger,
             True,
         )
-        nonce = world.chance(f"nonce {self.number} {self.lives}").getrandbits(56)
+        nonce = world.rng_for(f"nonce {self.number} {self.start_count}").getrandbits(56)
         return Link(
-            read("config", lambda _: [self.file]),
+            read("config", lambda _: [self.config_file]),
             peers,
             self.reactor,
             log,
             lambda: int(world.timeline.now * (1 + self.drift)),
-            self.unix,
+            self.unix_time,
             lambda: nonce,
         )
 
-    def whole(self) -> bool:
+    def config_is_valid(self) -> bool:
         try:
-            orjson.loads(self.file)["settings"]["classes"]
+            orjson.loads(self.config_file)["settings"]["classes"]
         except (ValueError, KeyError, TypeError):
             return False
         return True
 
-    def kernel_moves(self) -> None:
-        """To the address that the configuration names now; the old one goes a while later, with its links."""
-        new, old = KERNEL_PORTS[self.moved], KERNEL_PORTS[not self.moved]
+    def move_kernel(self) -> None:
+        """Listens on the port that the configuration names now; closes the old one and its links later."""
+        new, old = (
+            KERNEL_PORTS[self.uses_alternate_addresses],
+            KERNEL_PORTS[not self.uses_alternate_addresses],
+        )
         reactor, world = self.kernel_reactor, self.world
         if (reactor.life.ip, new) not in world.network.listeners:
             reactor.listenTCP(new, self.kernel)
 
         def close() -> None:
-            if reactor.life.alive and KERNEL_PORTS[self.moved] == new:
+            if reactor.life.alive and KERNEL_PORTS[self.uses_alternate_addresses] == new:
                 for port in reactor.ports:
                     if port.address[1] == old and port.open:
                         port.close()
                 for socket in list(reactor.sockets.values()):
                     if socket.host[1] == old:
-                        world.reset(socket)
+                        world.reset_connection(socket)
 
-        world.timeline.schedule(world.timeline.now + MOVED_AFTER, None, "moved", close)
+        world.timeline.schedule(world.timeline.now + OLD_PORT_CLOSE_DELAY, None, "moved", close)
 
-    def signal(self, number: int) -> None:
+    def send_signal(self, number: int) -> None:
         if self.instance is not None:
             self.instance.record_signal(number)
             self.reactor.callFromThread(self.instance.signal_handlers()[number])
 
-    def exited(self) -> None:
-        """By itself."""
-        self.note("exit", "")
-        self.world.attempt(self, lambda: self.oracles.on_process_exit(self.world.timeline.now))
-        self.die(in_order=True)
+    def on_exit(self) -> None:
+        """The process ended without being killed."""
+        self.record_event("exit", "")
+        self.world.run_check(self, lambda: self.oracles.on_process_exit(self.world.timeline.now))
+        self.terminate(in_order=True)
 
-    def die(self, in_order: bool) -> None:
+    def terminate(self, in_order: bool) -> None:
         if self.instance is not None:
             self.oracles.process_ended = True
             now = self.world.timeline.now
-            spans = [*self.calls_before, *self.oracles.call_spans(now, linger=ABANDONED_CALL_LINGER)]
-            self.calls_before = [span for span in spans if span[1] > now - self.world.plan.calls_over]
+            spans = [*self.earlier_calls, *self.oracles.call_spans(now, linger=ABANDONED_CALL_LINGER)]
+            self.earlier_calls = [span for span in spans if span[1] > now - self.world.plan.calls_over]
             self.instance = None
             self.reactor.shut(in_order)
             self.kernel_reactor.shut(in_order)
 
-    def pause(self, on: bool) -> None:
-        self.paused += 1 if on else -1
+    def set_paused(self, paused: bool) -> None:
+        self.paused += 1 if paused else -1
         if self.instance is None or self.life is None:
             return
-        if on:
+        if paused:
             self.life.paused = self.kernel_life.paused = True
         elif not self.paused:
             self.world.timeline.resume(self.life)
             self.world.timeline.resume(self.kernel_life)
             self.oracles.on_resume(self.world.timeline.now)
 
-    def unix(self) -> float:
-        return (UNIX + self.world.timeline.now + self.offset) / SECOND
+    def unix_time(self) -> float:
+        return (UNIX_TIME_AT_ZERO + self.world.timeline.now + self.unix_offset) / SECOND
 
-    # ---- what is heard
+    # ---- callbacks
 
-    def see(self, event: WireEvent) -> None:
+    def on_wire_event(self, event: WireEvent) -> None:
         try:
             self.oracles.turn = self.world.timeline.steps
             self.oracles.on_event(self.world.timeline.now, event)
-        except RuleViolation as broken:
-            self.broke(broken)
+        except RuleViolation as violation:
+            self.report_violation(violation)
         self.world.bad_callers.on_event(self, event)
 
-    def logged(self, line: bytes) -> int:
+    def write_log(self, line: bytes) -> int:
         if self.world.record is not None:
             self.world.record(
                 self.world.timeline.steps,
@@ -309,7 +319,7 @@
             )
         if b'"trace"' in line or b'"overdue"' in line:
             value = orjson.loads(line)
-            self.world.attempt(
+            self.world.run_check(
                 self,
                 lambda: self.oracles.on_log_line(
                     value["event"], value.get("code", ""), line.decode() + "exception"
@@ -317,194 +327,195 @@
             )
         return len(line)
 
-    def fault(self, failure: Failure) -> None:
+    def log_failure(self, failure: Failure) -> None:
         if self.instance is not None:
             self.instance.log_reactor_failure({"log_failure": failure})
 
-    def broke(self, broken: RuleViolation) -> None:
-        self.world.broke(broken, self.name)
+    def report_violation(self, violation: RuleViolation) -> None:
+        self.world.report_violation(violation, self.name)
 
-    def note(self, kind: str, ref: str) -> None:
-        self.world.note(self.name, kind, ref)
-        for waits in self.armed:
-            if waits[0].trigger == kind and waits[1] > 0:
-                waits[1] -= 1
-                if not waits[1]:
-                    world, fault = self.world, waits[0]
-                    world.timeline.schedule(world.timeline.now + fault.lag, None, "fault", world.begin, fault)
+    def record_event(self, kind: str, ref: str) -> None:
+        self.world.record_event(self.name, kind, ref)
+        for pending in self.triggered_faults:
+            if pending[0].trigger == kind and pending[1] > 0:
+                pending[1] -= 1
+                if not pending[1]:
+                    world, fault = self.world, pending[0]
+                    world.timeline.schedule(
+                        world.timeline.now + fault.lag, None, "fault", world.begin_fault, fault
+                    )
 
 
 class World:
     def __init__(self, plan: Plan, record: Record | None = None) -> None:
         self.plan, self.record = plan, record
-        self.timeline = Timeline(self.chance("order"), plan.quantum, plan.ties)
-        self.links = Links(self.chance("links"), plan.weather)
+        self.timeline = Timeline(self.rng_for("order"), plan.quantum, plan.ties)
+        self.links = Links(self.rng_for("links"), plan.weather)
         self.network = Network(self.timeline, self.links)
         self.digest = xxhash.xxh3_128()
-        self.recent: deque[str] = deque(maxlen=RECENT)
+        self.recent: deque[str] = deque(maxlen=MAX_RECENT_EVENTS)
         self.judged: Counter[str] = Counter()
-        self.over: set[str] = set()  # refs answered or given up; only ever asked for members
-        self.came: list[tuple[Kind, int, int]] = []
-        self.broken: tuple[RuleViolation, str, int] | None = None
-        self.trouble = self.chance("trouble")
-        self.bad_callers = BadCallers(self, self.chance("bad callers"))
+        self.finished_refs: set[str] = set()  # answered or abandoned; used only for membership tests
+        self.applied_faults: list[tuple[Kind, int, int]] = []
+        self.violation: tuple[RuleViolation, str, int] | None = None
+        self.fault_rng = self.rng_for("trouble")
+        self.bad_callers = BadCallers(self, self.rng_for("bad callers"))
         self.last_heal = START_TIME + plan.quiet
         self.quiet = False
-        self.ending: list[Callable[[], None]] = []  # what heals a fault that still lasts
+        self.active_heals: list[Callable[[], None]] = []  # each ends a fault that is in effect
         self.machines = [Machine(self, number) for number in range(plan.instances)]
         self.cases: list[Any] = []
 
-    def chance(self, name: str) -> random.Random:
+    def rng_for(self, name: str) -> random.Random:
         return random.Random(f"{self.plan.seed} {name}")
 
-    # ---- hearing
+    # ---- events and violations
 
-    def note(self, who: str, kind: str, ref: str) -> None:
+    def record_event(self, who: str, kind: str, ref: str) -> None:
         text = f"{self.timeline.now - START_TIME:>9} {who} {kind} {ref}"
         self.digest.update(text.encode())
         self.recent.append(text)
         if self.record is not None:
             self.record(self.timeline.steps, self.timeline.now - START_TIME, who, kind, ref)
 
-    def broke(self, broken: RuleViolation, who: str) -> None:
-        if self.broken is None:
-            self.broken = broken, who, self.timeline.now - START_TIME
+    def report_violation(self, violation: RuleViolation, who: str) -> None:
+        if self.violation is None:
+            self.violation = violation, who, self.timeline.now - START_TIME
 
-    def attempt(self, machine: Machine, judge: Callable[[], None]) -> None:
-        """Oracles are called in the middle of an instance's code, which must not catch what they raise."""
+    def run_check(self, machine: Machine, check: Callable[[], None]) -> None:
+        """Reports a violation here: oracles run inside the instance's code, which must not catch it."""
         try:
-            judge()
-        except RuleViolation as broken:
-            self.broke(broken, machine.name)
+            check()
+        except RuleViolation as violation:
+            self.report_violation(violation, machine.name)
 
     def broken_standin(self, failure: Failure) -> None:
         raise failure.value  # type: ignore[misc]
 
-    def observed(self, event: Any) -> None:
+    def on_twisted_event(self, event: Any) -> None:
         failure = event.get("log_failure")
         if failure is not None:
-            self.broke(RuleViolation("exception", "", failure.getTraceback()[-1_500:]), "?")
+            self.report_violation(RuleViolation("exception", "", failure.getTraceback()[-1_500:]), "?")
 
-    def fault(self, life: Life | None, failure: Failure) -> None:
+    def handle_failure(self, life: Life | None, failure: Failure) -> None:
         machine = next((each for each in self.machines if each.life is life and life is not None), None)
         if machine is None:
             raise failure.value  # type: ignore[misc]
-        machine.fault(failure)
+        machine.log_failure(failure)
 
-    # ---- the far ends
+    # ---- services and callers
 
-    def found(self) -> None:
-        """Everything that stands beside the machines."""
+    def start_services(self) -> None:
+        """Starts the ledger, the node list and the callers."""
         plan = self.plan
         self.ledger: Ledger
         self.ledger_reactor: Reactor
-        self.ledger_trouble: dict[str, float] = {}
+        self.ledger_faults: dict[str, float] = {}
         self.start_ledger()
-        self.list_life = Life("list", NODE_LIST_IP)
-        self.start_list()
+        self.node_list_life = Life("list", NODE_LIST_IP)
+        self.start_node_list()
         self.stubs: list[Stub] = []
         self.stub_reactors: list[Reactor] = []
         for number in range(len(plan.callers)):
-            self.stub_reactors.append(self.reactor_for(f"c{number}", caller_ip(number)))
-            self.stubs.append(self.stub(number))
-        self.rude_reactor = self.reactor_for("rude", RUDE_CALLER_IP)
-        self.probe_reactor = self.reactor_for("probe", PROBE_IP)
+            self.stub_reactors.append(self.make_reactor(f"c{number}", caller_ip(number)))
+            self.stubs.append(self.make_stub(number))
+        self.rude_reactor = self.make_reactor("rude", RUDE_CALLER_IP)
+        self.probe_reactor = self.make_reactor("probe", PROBE_IP)
 
-    def reactor_for(self, name: str, ip: str) -> Reactor:
+    def make_reactor(self, name: str, ip: str) -> Reactor:
         return Reactor(self.network, Life(name, ip), self.broken_standin)
 
     def start_ledger(self) -> None:
-        self.ledger_reactor = self.reactor_for("ledger", LEDGER_IP)
+        self.ledger_reactor = self.make_reactor("ledger", LEDGER_IP)
         self.ledger = Ledger(
             self.ledger_reactor,
-            self.chance(f"ledger {self.timeline.now}"),
+            self.rng_for(f"ledger {self.timeline.now}"),
             slots=max(4, int(self.plan.calls_out * self.plan.instances)),
         )
-        self.ledger.told = self.in_hand
-        for name, value in self.ledger_trouble.items():
+        self.ledger.told = self.check_ledger_limit
+        for name, value in self.ledger_faults.items():
             setattr(self.ledger, name, value)
         for port in (8900, 8901):
             self.ledger_reactor.listenTCP(port, self.ledger)
 
-    def in_hand(self, count: int) -> None:
+    def check_ledger_limit(self, count: int) -> None:
         fleet = self.plan.fleet
         if fleet is not None:
             self.judged["limit"] += 1
             if count > fleet.limit:
-                self.broke(
-                    RuleViolation(
-                        "limit", "", f"{count} calls in the ledger's hands, the limit is {fleet.limit}"
-                    ),
+                self.report_violation(
+                    RuleViolation("limit", "", f"{count} calls at the ledger, the limit is {fleet.limit}"),
                     "?",
                 )
 
-    def start_list(self) -> None:
-        self.list_reactor = self.reactor_for("list", NODE_LIST_IP)
-        self.node_list = NodeList(self.list_reactor)
-        beside = NodeList(self.list_reactor)  # under the other address, with the same entries
-        beside.reports = self.node_list.reports
-        for port, node_list in ((7946, self.node_list), (7947, beside)):
-            self.list_reactor.listenUDP(port, node_list)
+    def start_node_list(self) -> None:
+        self.node_list_reactor = self.make_reactor("list", NODE_LIST_IP)
+        self.node_list = NodeList(self.node_list_reactor)
+        alternate_list = NodeList(self.node_list_reactor)  # at the alternate address, with the same entries
+        alternate_list.reports = self.node_list.reports
+        for port, node_list in ((7946, self.node_list), (7947, alternate_list)):
+            self.node_list_reactor.listenUDP(port, node_list)
 
-    def stub(self, number: int) -> Stub:
+    def make_stub(self, number: int) -> Stub:
         caller = self.plan.callers[number]
-        # One in three rests until it is ended, whatever it was bidden: no draw of its own, so plans stay.
+        # Every third caller idles until its connection is closed, despite a farewell. This is not drawn, so
+        # that the plans of existing seeds stay the same.
         habit = Habit(caller.tries, caller.heeds, caller.sticky, caller.hedges, rests=number % 3 == 2)
         names = tuple(machine.name for machine in self.machines)
-        made = Stub(
+        stub = Stub(
             self.stub_reactors[number],
             number,
             habit,
-            self.chance(f"caller {number} {self.timeline.now}"),
+            self.rng_for(f"caller {number} {self.timeline.now}"),
             lambda: self.node_list.listed() or names,
-            self.where,
-            self.stamp,
-            self.ended,
+            self.instance_address,
+            self.instance_time,
+            self.on_txn_ended,
         )
-        made.start(checks=number == 0 and self.plan.checks)
-        return made
+        stub.start(checks=number == 0 and self.plan.checks)
+        return stub
 
-    def where(self, name: str) -> tuple[str, int]:
+    def instance_address(self, name: str) -> tuple[str, int]:
         return instance_ip(int(name[1:])), 8443
 
-    def stamp(self, name: str) -> float:
-        return self.machines[int(name[1:])].unix()
+    def instance_time(self, name: str) -> float:
+        return self.machines[int(name[1:])].unix_time()
 
-    def ended(self, ref: str) -> None:
-        self.over.add(ref)
+    def on_txn_ended(self, ref: str) -> None:
+        self.finished_refs.add(ref)
         for machine in self.machines:
             if machine.instance is not None and ref in machine.kernel.runs:
                 machine.kernel.ended_outside(ref)
 
     # ---- traffic
 
-    def ask(self, ask: PlannedTxn, number: int) -> None:
-        stub = self.stubs[ask.caller]
-        stub.want(self.want(ask, number))
+    def send_txn(self, txn: PlannedTxn, number: int) -> None:
+        stub = self.stubs[txn.caller]
+        stub.want(self.make_want(txn, number))
         self.cases.append(stub.cases[-1])
 
-    def want(self, ask: PlannedTxn, number: int) -> Want:
-        product = self.plan.products[ask.product]
+    def make_want(self, txn: PlannedTxn, number: int) -> Want:
+        product = self.plan.products[txn.product]
         return Want(
             number,
             product.name,
             PROTOCOL_KINDS[product.kind],
-            f"c{ask.customer}" if ask.customer >= 0 else "",
-            ask.key,
-            ask.size_kb,
-            ask.patience,
+            f"c{txn.customer}" if txn.customer >= 0 else "",
+            txn.key,
+            txn.size_kb,
+            txn.patience,
             product.expiry // MS,
-            b"work=%d calls=%d op=%d n=%d" % (ask.work, ask.calls, ask.op, number),
-            ask.work / MS if ask.effort else 0.0,
+            b"work=%d calls=%d op=%d n=%d" % (txn.work, txn.calls, txn.op, number),
+            txn.work / MS if txn.effort else 0.0,
         )
 
     # ---- faults
 
-    def arm(self, fault: Fault) -> None:
+    def arm_trigger(self, fault: Fault) -> None:
         machine = self.machines[fault.target % len(self.machines)]
-        machine.armed.append([fault, fault.nth])
+        machine.triggered_faults.append([fault, fault.nth])
 
-    def begin(self, fault: Fault) -> None:
+    def begin_fault(self, fault: Fault) -> None:
         if self.quiet:
             return
         now, until = self.timeline.now, START_TIME + self.plan.quiet
@@ -512,70 +523,70 @@
         if heal is False:
             return
         end = min(now + fault.lasts, until) if heal is not None else now
-        self.came.append((fault.kind, now - START_TIME, end - START_TIME))
-        self.note("world", fault.kind.value, str(fault.target))
+        self.applied_faults.append((fault.kind, now - START_TIME, end - START_TIME))
+        self.record_event("world", fault.kind.value, str(fault.target))
         if heal is not None:
-            self.ending.append(heal)
-            self.timeline.schedule(end, None, "heal", self.heal, heal)
+            self.active_heals.append(heal)
+            self.timeline.schedule(end, None, "heal", self.heal_fault, heal)
 
-    def heal(self, heal: Callable[[], None]) -> None:
-        if heal in self.ending:
-            self.ending.remove(heal)
+    def heal_fault(self, heal: Callable[[], None]) -> None:
+        if heal in self.active_heals:
+            self.active_heals.remove(heal)
             heal()
 
-    def machine(self, fault: Fault) -> Machine:
+    def target_machine(self, fault: Fault) -> Machine:
         return self.machines[fault.target % len(self.machines)]
 
-    def alive(self, fault: Fault) -> Machine | None:
-        machine = self.machine(fault)
+    def running_target(self, fault: Fault) -> Machine | None:
+        machine = self.target_machine(fault)
         return machine if machine.instance is not None else None
 
     def _kill(self, fault: Fault) -> Any:
-        machine = self.alive(fault)
+        machine = self.running_target(fault)
         if machine is None:
             return False
-        machine.die(in_order=self.trouble.random() < 0.5)
-        self.revive(machine, int(fault.amount * SECOND))
+        machine.terminate(in_order=self.fault_rng.random() < 0.5)
+        self.schedule_restart(machine, int(fault.amount * SECOND))
         return None
 
-    def revive(self, machine: Machine, after: int) -> None:
+    def schedule_restart(self, machine: Machine, after: int) -> None:
         at = self.timeline.now + after
         self.last_heal = max(self.last_heal, at + self.plan.boot)
 
-        def again() -> None:
+        def restart() -> None:
             if machine.instance is None:
                 machine.start(cold=True)
 
-        self.timeline.schedule(at, None, "start", again)
+        self.timeline.schedule(at, None, "start", restart)
 
     def _drain(self, fault: Fault) -> Any:
-        machine = self.alive(fault)
-        if machine is None or machine.left:
+        machine = self.running_target(fault)
+        if machine is None or machine.draining:
             return False
-        machine.left = True
-        machine.signal(SIGTERM)
+        machine.draining = True
+        machine.send_signal(SIGTERM)
         machine.oracles.on_drain_notice(self.timeline.now)
-        life = machine.lives
+        start_count = machine.start_count
         kill_at = self.timeline.now + self.plan.stop
         self.last_heal = max(self.last_heal, kill_at + self.plan.boot)
         self.bad_callers.on_drain_notice(machine)
 
         def kill() -> None:
-            if machine.lives == life:
+            if machine.start_count == start_count:
                 if machine.instance is not None:
-                    machine.die(in_order=False)
-                self.revive(machine, 10 * MS)
+                    machine.terminate(in_order=False)
+                self.schedule_restart(machine, 10 * MS)
 
         self.timeline.schedule(kill_at, None, "kill", kill)
         return None
 
     def _pause(self, fault: Fault) -> Any:
-        machine = self.machine(fault)
-        machine.pause(True)
-        return lambda: machine.pause(False)
+        machine = self.target_machine(fault)
+        machine.set_paused(True)
+        return lambda: machine.set_paused(False)
 
     def _slow_cores(self, fault: Fault) -> Any:
-        machine = self.machine(fault)
+        machine = self.target_machine(fault)
 
         def set_speed(speed: float) -> None:
             machine.speed = speed
@@ -586,49 +597,51 @@
         return lambda: set_speed(1.0)
 
     def _reload(self, fault: Fault) -> Any:
-        machine = self.alive(fault)
+        machine = self.running_target(fault)
         if machine is None:
             return False
-        machine.moved = not machine.moved
-        machine.file = orjson.dumps(self.plan.config(machine.number, machine.moved))
-        machine.kernel_moves()
-        machine.signal(SIGHUP)
+        machine.uses_alternate_addresses = not machine.uses_alternate_addresses
+        machine.config_file = orjson.dumps(self.plan.config(machine.number, machine.uses_alternate_addresses))
+        machine.move_kernel()
+        machine.send_signal(SIGHUP)
         return None
 
     def _reload_bad(self, fault: Fault) -> Any:
-        machine = self.alive(fault)
+        machine = self.running_target(fault)
         if machine is None:
             return False
-        good = machine.file
-        bad = orjson.loads(good) if machine.whole() else {}
+        good = machine.config_file
+        bad = orjson.loads(good) if machine.config_is_valid() else {}
         bad.get("settings", {}).pop("classes", None)
-        spoilt = machine.file = self.trouble.choice((b"", b"[]", b"\xff\xfe", orjson.dumps(bad)))
-        machine.signal(SIGHUP)
+        invalid = machine.config_file = self.fault_rng.choice((b"", b"[]", b"\xff\xfe", orjson.dumps(bad)))
+        machine.send_signal(SIGHUP)
 
         def restore() -> None:
-            if machine.file is spoilt:
-                machine.file = orjson.dumps(self.plan.config(machine.number, machine.moved))
+            if machine.config_file is invalid:
+                machine.config_file = orjson.dumps(
+                    self.plan.config(machine.number, machine.uses_alternate_addresses)
+                )
 
         return restore
 
     def _reload_half(self, fault: Fault) -> Any:
-        machine = self.alive(fault)
+        machine = self.running_target(fault)
         if machine is None:
             return False
-        machine.moved = not machine.moved
-        data = orjson.dumps(self.plan.config(machine.number, machine.moved))
-        half = machine.file = data[: int(self.trouble.random() * len(data))]
-        machine.kernel_moves()
-        machine.signal(SIGHUP)
+        machine.uses_alternate_addresses = not machine.uses_alternate_addresses
+        data = orjson.dumps(self.plan.config(machine.number, machine.uses_alternate_addresses))
+        partial_file = machine.config_file = data[: int(self.fault_rng.random() * len(data))]
+        machine.move_kernel()
+        machine.send_signal(SIGHUP)
 
         def complete() -> None:
-            if machine.file is half:
-                machine.file = data
+            if machine.config_file is partial_file:
+                machine.config_file = data
 
         return complete
 
     def _link_break(self, fault: Fault) -> Any:
-        machine = self.alive(fault)
+        machine = self.running_target(fault)
         links = (
             []
             if machine is None
@@ -639,11 +652,11 @@
             ]
         )
         for socket in links:
-            self.reset(socket)
+            self.reset_connection(socket)
         return None if links else False
 
-    def reset(self, socket: Socket) -> None:
-        """Both ends hear of it, each in its time; what was under way is gone."""
+    def reset_connection(self, socket: Socket) -> None:
+        """Resets both ends, each after a delay; data in flight is lost."""
         for flow in (socket.inn, socket.out):
             flow.broken = True
             flow.air.clear()
@@ -652,23 +665,23 @@
         socket.other.reset_soon()
 
     def _notices_doubled(self, fault: Fault) -> Any:
-        machine = self.machine(fault)
+        machine = self.target_machine(fault)
 
         def set_share(share: float) -> None:
-            machine.doubled = share
+            machine.duplicate_notice_share = share
             if machine.instance is not None:
                 machine.kernel.doubled = share
 
         set_share(fault.amount)
         return lambda: set_share(0.0)
 
-    def _ledger(self, name: str, value: float, usual: float) -> Any:
-        def put(new: float) -> None:
-            self.ledger_trouble[name] = new
+    def _ledger(self, name: str, value: float, default: float) -> Any:
+        def set_value(new: float) -> None:
+            self.ledger_faults[name] = new
             setattr(self.ledger, name, new)
 
-        put(value)
-        return lambda: put(usual)
+        set_value(value)
+        return lambda: set_value(default)
 
     def _ledger_slow(self, fault: Fault) -> Any:
         return self._ledger("slow", fault.amount, 1.0)
@@ -691,41 +704,45 @@
     def _ledger_down(self, fault: Fault) -> Any:
         if not self.ledger_reactor.life.alive:
             return False
-        self.ledger_reactor.shut(in_order=self.trouble.random() < 0.5)
+        self.ledger_reactor.shut(in_order=self.fault_rng.random() < 0.5)
         return self.start_ledger
 
     def _node_list_down(self, fault: Fault) -> Any:
-        if not self.list_reactor.life.alive:
+        if not self.node_list_reactor.life.alive:
             return False
-        self.list_reactor.shut(in_order=True)
-        return self.start_list
+        self.node_list_reactor.shut(in_order=True)
+        return self.start_node_list
 
     def _rude(self, fault: Fault) -> Any:
-        machine = self.machine(fault)
+        machine = self.target_machine(fault)
         count, kind = divmod(int(fault.amount), RUDE_CALLER_KINDS)
         for _ in range(max(1, count)):
             rude = Rude(
-                Rude.KINDS[kind], self.rude_reactor, self.trouble, self.plan.products[0].name, machine.unix
+                Rude.KINDS[kind],
+                self.rude_reactor,
+                self.fault_rng,
+                self.plan.products[0].name,
+                machine.unix_time,
             )
             self.rude_reactor.connectTCP(instance_ip(machine.number), 8443, RudeWay(rude), timeout=1.0)
         return None
 
     def _key_copy(self, fault: Fault) -> Any:
-        machine = self.alive(fault)
+        machine = self.running_target(fault)
         if machine is None or not self.bad_callers.copy_keys(machine, max(1, int(fault.amount))):
             return False
         return None
 
     def _send_at_close(self, fault: Fault) -> Any:
-        machine = self.alive(fault)
+        machine = self.running_target(fault)
         if machine is None:
             return False
         self.bad_callers.connect_idle_callers(machine, max(1, int(fault.amount)))
         return None
 
     def _clock_step(self, fault: Fault) -> Any:
-        machine = self.machine(fault)
-        machine.offset += int(fault.amount * SECOND)
+        machine = self.target_machine(fault)
+        machine.unix_offset += int(fault.amount * SECOND)
         if machine.instance is not None:
             machine.oracles.on_clock_step(self.timeline.now)
         return None
@@ -733,45 +750,45 @@
     def _caller_restart(self, fault: Fault) -> Any:
         number = fault.target % len(self.stubs)
         for ref in list(self.stubs[number].case_of):
-            self.ended(ref)
+            self.on_txn_ended(ref)
         for case in self.stubs[number].cases:
             if case.state == "open":
                 case.state = "forgotten"
-        self.stub_reactors[number].shut(in_order=self.trouble.random() < 0.5)
-        self.stub_reactors[number] = self.reactor_for(f"c{number}", caller_ip(number))
-        self.stubs[number] = self.stub(number)
+        self.stub_reactors[number].shut(in_order=self.fault_rng.random() < 0.5)
+        self.stub_reactors[number] = self.make_reactor(f"c{number}", caller_ip(number))
+        self.stubs[number] = self.make_stub(number)
         return None
 
     def _jump(self, fault: Fault) -> Any:
-        return None  # its txns stand in the plan
+        return None  # its txns are part of the plan
 
     def _cut(self, fault: Fault, both: bool = True) -> Any:
-        machine = self.machine(fault)
-        far = fault.far or CUT_ENDPOINTS[0]
+        machine = self.target_machine(fault)
+        endpoint = fault.far or CUT_ENDPOINTS[0]
         ips = {
             "kernel": [kernel_ip(machine.number)],
             "ledger": [LEDGER_IP],
             "node-list": [NODE_LIST_IP],
             "callers": [caller_ip(number) for number in range(len(self.stubs))],
             PEERS_ENDPOINT: [instance_ip(each.number) for each in self.machines if each is not machine],
-        }[far]
-        ways = [(instance_ip(machine.number), ip) for ip in ips]
-        if not both and self.trouble.random() < 0.5:
-            ways = [(there, here) for here, there in ways]
-        for way in ways:
-            self.links.add_cut(*way, both)
+        }[endpoint]
+        paths = [(instance_ip(machine.number), ip) for ip in ips]
+        if not both and self.fault_rng.random() < 0.5:
+            paths = [(there, here) for here, there in paths]
+        for path in paths:
+            self.links.add_cut(*path, both)
 
-        def mend() -> None:
-            for way in ways:
-                self.links.remove_cut(*way, both)
+        def restore_links() -> None:
+            for path in paths:
+                self.links.remove_cut(*path, both)
 
-        return mend
+        return restore_links
 
     def _cut_one_way(self, fault: Fault) -> Any:
         return self._cut(fault, both=False)
 
     def _resets(self, fault: Fault) -> Any:
-        machine = self.alive(fault)
+        machine = self.running_target(fault)
         if machine is None:
             return False
         lines = [
@@ -779,32 +796,32 @@
             for socket in machine.reactor.sockets.values()
             if socket.connected and socket.peer[0].startswith("127.0.7.")
         ]
-        for socket in self.trouble.sample(lines, min(len(lines), max(1, int(fault.amount)))):
-            self.reset(socket)
+        for socket in self.fault_rng.sample(lines, min(len(lines), max(1, int(fault.amount)))):
+            self.reset_connection(socket)
         return None if lines else False
 
     def _slow_wire(self, fault: Fault) -> Any:
-        ip, more = instance_ip(self.machine(fault).number), int(fault.amount)
-        self.links.extra_delays[ip] = self.links.extra_delays.get(ip, 0) + more
+        ip, extra_delay = instance_ip(self.target_machine(fault).number), int(fault.amount)
+        self.links.extra_delays[ip] = self.links.extra_delays.get(ip, 0) + extra_delay
 
         def heal() -> None:
-            self.links.extra_delays[ip] -= more
+            self.links.extra_delays[ip] -= extra_delay
 
         return heal
 
-    def sever(self, ways: list[tuple[str, str]]) -> Callable[[], None]:
-        for way in ways:
-            self.links.add_cut(*way, both=True)
+    def cut_paths(self, paths: list[tuple[str, str]]) -> Callable[[], None]:
+        for path in paths:
+            self.links.add_cut(*path, both=True)
 
-        def mend() -> None:
-            for way in ways:
-                self.links.remove_cut(*way, both=True)
+        def restore_links() -> None:
+            for path in paths:
+                self.links.remove_cut(*path, both=True)
 
-        return mend
+        return restore_links
 
     def _islands(self, fault: Fault) -> Any:
         parts = max(2, int(fault.amount))
-        return self.sever(
+        return self.cut_paths(
             [
                 (instance_ip(one), instance_ip(other))
                 for one, other in combinations(range(len(self.machines)), 2)
@@ -813,66 +830,74 @@
         )
 
     def _flap(self, fault: Fault) -> Any:
-        """Cut for a period, whole for one."""
-        here = instance_ip(self.machine(fault).number)
-        ways = [(here, instance_ip(each.number)) for each in self.machines if each is not self.machine(fault)]
-        period, going = int(fault.amount * SECOND), [True]
-        mend: list[Callable[[], None]] = []
-
-        def turn() -> None:
-            if mend:
-                mend.pop()()
-            elif going[0]:
-                mend.append(self.sever(ways))
-            if going[0]:
-                self.timeline.schedule(self.timeline.now + period, None, "flap", turn)
+        """Cuts the links for one period and restores them for the next, in turns."""
+        here = instance_ip(self.target_machine(fault).number)
+        paths = [
+            (here, instance_ip(each.number))
+            for each in self.machines
+            if each is not self.target_machine(fault)
+        ]
+        period, active = int(fault.amount * SECOND), [True]
+        restore_links: list[Callable[[], None]] = []
+
+        def toggle() -> None:
+            if restore_links:
+                restore_links.pop()()
+            elif active[0]:
+                restore_links.append(self.cut_paths(paths))
+            if active[0]:
+                self.timeline.schedule(self.timeline.now + period, None, "flap", toggle)
 
         def heal() -> None:
-            going[0] = False
-            if mend:
-                mend.pop()()
+            active[0] = False
+            if restore_links:
+                restore_links.pop()()
 
-        turn()
+        toggle()
         return heal
 
     def _peer_loss(self, fault: Fault) -> Any:
-        lossy = self.links.extra_losses
+        losses = self.links.extra_losses
         for machine in self.machines:
-            lossy[instance_ip(machine.number)] = fault.amount
-        return lossy.clear
+            losses[instance_ip(machine.number)] = fault.amount
+        return losses.clear
 
     # ---- the run
 
     def run(self) -> Outcome:
         plan, timeline = self.plan, self.timeline
-        observer: Any = self.observed
+        observer: Any = self.on_twisted_event
         globalLogPublisher.addObserver(observer)
         try:
-            self.found()
+            self.start_services()
             for machine in self.machines:
                 machine.start(plan.cold)
-            for number, ask in enumerate(plan.asks):
-                timeline.schedule(START_TIME + ask.at, None, "ask", self.ask, ask, number)
+            for number, txn in enumerate(plan.asks):
+                timeline.schedule(START_TIME + txn.at, None, "ask", self.send_txn, txn, number)
             for fault in plan.faults:
                 timeline.schedule(
-                    START_TIME + fault.at, None, "fault", self.arm if fault.trigger else self.begin, fault
+                    START_TIME + fault.at,
+                    None,
+                    "fault",
+                    self.arm_trigger if fault.trigger else self.begin_fault,
+                    fault,
                 )
-            self.steps(START_TIME + plan.quiet)
-            self.calm()
-            while self.broken is None and self.timeline.now < self.last_heal + SETTLE:
-                self.steps(self.last_heal + SETTLE)
-            if self.broken is None:
-                self.finish()
+            self.run_until(START_TIME + plan.quiet)
+            self.begin_quiet_period()
+            while self.violation is None and self.timeline.now < self.last_heal + SETTLE_TIME:
+                self.run_until(self.last_heal + SETTLE_TIME)
+            if self.violation is None:
+                self.check_liveness()
         finally:
-            gc.collect()  # an error that nobody handled is told of by the collector
+            gc.collect()  # the collector reports unhandled errors of Deferreds
             globalLogPublisher.removeObserver(observer)
         return self.outcome()
 
-    def steps(self, until: int) -> bool:
-        """Until then, or until a rule is broken: False."""
+    def run_until(self, until: int) -> bool:
+        """Runs events until then; returns False if a rule was violated before."""
         timeline, digest = self.timeline, self.digest
-        looked = 0
-        while self.broken is None:
+        last_check = 0
+        while self.violation is None:
             event = timeline.step(until)
             if event is None:
                 return True
@@ -892,14 +917,14 @@
             try:
                 event.call(*event.args)
             except Exception:
-                self.fault(life, Failure())  # type: ignore[no-untyped-call]  # the process's own, as in a reactor that logs it and goes on
-            if timeline.now >= looked + LOOK:
-                looked = timeline.now
+                self.handle_failure(life, Failure())  # type: ignore[no-untyped-call]  # logged by the process, as a real reactor does
+            if timeline.now >= last_check + DEADLINE_CHECK_INTERVAL:
+                last_check = timeline.now
                 for machine in self.machines:
                     if machine.instance is not None:
-                        self.attempt(machine, partial(machine.oracles.on_time_advance, looked))
-            if timeline.steps_on_tick > TICK_MOST or timeline.steps > STEPS_MOST:
-                self.broke(
+                        self.run_check(machine, partial(machine.oracles.on_time_advance, last_check))
+            if timeline.steps_on_tick > MAX_STEPS_PER_TICK or timeline.steps > MAX_STEPS:
+                self.report_violation(
                     RuleViolation(
                         "livelock", "", f"{timeline.steps_on_tick} steps on one tick, {timeline.steps} in all"
                     ),
@@ -907,112 +932,127 @@
                 )
         return False
 
-    def calm(self) -> None:
-        """The quiet point: all that still lasts heals now."""
+    def begin_quiet_period(self) -> None:
+        """The quiet point: ends all faults that are still in effect."""
         self.quiet = True
         for machine in self.machines:
-            machine.armed.clear()
-        for heal in list(self.ending):
-            self.heal(heal)
-        self.note("world", "quiet", "")
+            machine.triggered_faults.clear()
+        for heal in list(self.active_heals):
+            self.heal_fault(heal)
+        self.record_event("world", "quiet", "")
 
-    def finish(self) -> None:
-        """Liveness: each instance serves again, everything is answered, nothing is left."""
+    def check_liveness(self) -> None:
+        """Checks liveness: every instance serves again, every txn is answered and all tables are empty."""
         timeline = self.timeline
-        if not self.wait(END_WAIT, lambda: not any(case.state == "open" for case in self.cases)):
+        if not self.run_until_true(
+            FINAL_ANSWER_TIMEOUT, lambda: not any(case.state == "open" for case in self.cases)
+        ):
             open_cases = sum(case.state == "open" for case in self.cases)
-            self.broke(
-                RuleViolation("heals", "", f"{open_cases} clients still wait after the quiet point"), "?"
+            self.report_violation(
+                RuleViolation("heals", "", f"{open_cases} clients are still waiting after the quiet point"),
+                "?",
             )
             return
         probe = Stub(
             self.probe_reactor,
             8,
             Habit(tries=3, heeds=False),
-            self.chance("probe"),
+            self.rng_for("probe"),
             lambda: (),
-            self.where,
-            self.stamp,
-            self.ended,
+            self.instance_address,
+            self.instance_time,
+            self.on_txn_ended,
         )
         cases: list[tuple[Machine, Any]] = []
         for number, machine in enumerate([*self.machines, *self.machines]):
-            ask = PlannedTxn(0, 0, 0, -1, "", 2.0, self.plan.products[0].expiry // MS, 2_000, 1, 5_000)
+            txn = PlannedTxn(0, 0, 0, -1, "", 2.0, self.plan.products[0].expiry // MS, 2_000, 1, 5_000)
             probe.listed = lambda name=machine.name: (name,)  # type: ignore[misc]
-            cases.append((machine, probe.want(self.want(ask, 100_000 + number))))
-            cases[-1][1].maybe_ran = machine.name  # its later tries go to the same instance
-        self.wait(PROBE_WAIT, lambda: not any(case.state == "open" for _, case in cases))
+            cases.append((machine, probe.want(self.make_want(txn, 100_000 + number))))
+            cases[-1][1].maybe_ran = machine.name  # retries go to the same instance
+        self.run_until_true(PROBE_TIMEOUT, lambda: not any(case.state == "open" for _, case in cases))
         self.judged["heals"] += 1
         for machine in self.machines:
             states = [case.state for of, case in cases if of is machine]
             if "settled" not in states:
-                self.broke(
+                self.report_violation(
                     RuleViolation(
-                        "heals", "", f"two easy txns of {machine.name} came to {', '.join(states)}"
+                        "heals", "", f"two short txns at {machine.name} ended as {', '.join(states)}"
                     ),
                     machine.name,
                 )
                 return
         if self.plan.fleet is not None:
-            self.judge_members()
-        self.steps(timeline.now + 100 * MS)
-        # Reports get lost, in the worst weather one in five: another round of them before one counts as
-        # missing.
-        if not self.wait(REPORTED, lambda: not self.missing()) and self.broken is None:
-            missing = self.missing()
-            self.broke(RuleViolation("heals", "", f"not on the node list: {', '.join(missing)}"), missing[0])
+            self.check_membership()
+        self.run_until(timeline.now + 100 * MS)
+        # Up to one in five reports is lost under the worst network conditions, so an instance counts as
+        # missing only after another round of reports.
+        if (
+            not self.run_until_true(NODE_LIST_TIMEOUT, lambda: not self.missing_from_node_list())
+            and self.violation is None
+        ):
+            missing = self.missing_from_node_list()
+            self.report_violation(
+                RuleViolation("heals", "", f"not on the node list: {', '.join(missing)}"), missing[0]
+            )
         self.judged["left-over"] += 1
-        if not self.wait(SECOND, lambda: not any(self.left_over(machine) for machine in self.machines)):
+        if not self.run_until_true(
+            SECOND, lambda: not any(self.remaining_state(machine) for machine in self.machines)
+        ):
             for machine in self.machines:
-                if left := self.left_over(machine):
-                    self.broke(RuleViolation("left-over", "", left), machine.name)
+                if remaining := self.remaining_state(machine):
+                    self.report_violation(RuleViolation("left-over", "", remaining), machine.name)
 
-    def judge_members(self) -> None:
-        """All know each other again, and the limit is in use."""
-        for rule, lacks in (("known", self.strange), ("in-use", self.unused)):
+    def check_membership(self) -> None:
+        """Checks that all members know each other and that the limit is allotted."""
+        for rule, find in (("known", self.membership_problem), ("in-use", self.unallotted_limit)):
             self.judged[rule] += 1
-            if not self.wait(KNOWN, lambda lacks=lacks: not lacks()) and self.broken is None:  # type: ignore[misc]
-                self.broke(RuleViolation(rule, "", lacks()), "?")
+            held = self.run_until_true(MEMBERSHIP_TIMEOUT, lambda find=find: not find())  # type: ignore[misc]
+            if not held and self.violation is None:
+                self.report_violation(RuleViolation(rule, "", find()), "?")
         self.judged["datagram"] += 1
         for machine in self.machines:
-            if machine.link.counts["too-long"]:
-                self.broke(RuleViolation("datagram", "", "a datagram was too long to be sent"), machine.name)
+            if machine.peer_link.counts["too-long"]:
+                self.report_violation(
+                    RuleViolation("datagram", "", "a datagram exceeded the size limit"), machine.name
+                )
 
-    def strange(self) -> str:
-        """Who does not hold all present in the lives that they have, in words."""
-        truth = {each.link.peer.own.key for each in self.machines}
+    def membership_problem(self) -> str:
+        """Describes a member that does not know exactly the current processes; empty if there is none."""
+        truth = {each.peer_link.peer.own.key for each in self.machines}
         for machine in self.machines:
-            held = {claim.key for claim in machine.link.peer.members.present()}
+            held = {claim.key for claim in machine.peer_link.peer.members.present()}
             if held != truth:
-                return f"{machine.name} holds {', '.join(sorted(held))}, there are {', '.join(sorted(truth))}"
+                return (
+                    f"{machine.name} knows {', '.join(sorted(held))}, current are {', '.join(sorted(truth))}"
+                )
         return ""
 
-    def unused(self) -> str:
-        """How much less of the limit is dealt out than can be, in words; empty from 95% on."""
-        terms = self.machines[0].link.peer.terms
-        can = terms.surplus + terms.floor * len(self.machines)
-        shares = [each.link.share() for each in self.machines]
-        if sum(shares) < 0.95 * can:
-            why = {each.link.peer.holder.why(each.link.clock()) for each in self.machines}
-            return f"{sum(shares)} calls of {can} are dealt out ({', '.join(sorted(why))})"
+    def unallotted_limit(self) -> str:
+        """Describes how much of the limit is not allotted; empty if at least 95% of what is possible is."""
+        terms = self.machines[0].peer_link.peer.terms
+        available = terms.surplus + terms.floor * len(self.machines)
+        shares = [each.peer_link.share() for each in self.machines]
+        if sum(shares) < 0.95 * available:
+            why = {each.peer_link.peer.holder.why(each.peer_link.clock()) for each in self.machines}
+            return f"{sum(shares)} of {available} calls are allotted ({', '.join(sorted(why))})"
         return ""
 
-    def missing(self) -> list[str]:
-        """Instances that the node list does not have."""
+    def missing_from_node_list(self) -> list[str]:
+        """Names of the instances that are not on the node list."""
         return sorted({machine.name for machine in self.machines} - set(self.node_list.current()))
 
-    def wait(self, most: int, done: Callable[[], bool]) -> bool:
-        """Goes on until `done`, at most for that long; a broken rule counts as done."""
-        until = self.timeline.now + most
+    def run_until_true(self, max_duration: int, done: Callable[[], bool]) -> bool:
+        """Runs until `done` or for `max_duration`; returns False on time-out. A violation counts as done."""
+        until = self.timeline.now + max_duration
         while not done():
             if self.timeline.now >= until:
                 return False
-            if not self.steps(self.timeline.now + 50 * MS):
+            if not self.run_until(self.timeline.now + 50 * MS):
                 return True
         return True
 
-    def left_over(self, machine: Machine) -> str:
-        """What stands in an instance's tables that should not, in words; empty where nothing does."""
+    def remaining_state(self, machine: Machine) -> str:
+        """Describes entries that remain in an instance's tables; empty if there are none."""
         instance = machine.instance
         if instance is None:
             return ""
@@ -1022,20 +1062,20 @@
             "open txns": len(facade.open),
             "refs": len(facade.by_ref),
             "commands": len(instance.kernel.uncarried),
-            "commands sent again": len(instance.kernel.resent),
-            "questions to the kernel": max(0, len(instance.kernel.asked) - 2),
+            "resent commands": len(instance.kernel.resent),
+            "kernel queries": max(0, len(instance.kernel.asked) - 2),
             "calls": instance.ledger.connections,
             "waiting calls": sum(not call.over for call in instance.ledger.waiting),
             "bytes held": instance.callers.held_bytes,
             "bytes unread": instance.callers.unread_bytes,
             "runs": registry.active_runs(),
-            "calls in hand": len(facade.brain.calls.pending),
-            "connections no caller has": sum(
+            "pending calls": len(facade.brain.calls.pending),
+            "connections closed by their callers": sum(
                 each.transport.other.closed for each in instance.callers.connections
             ),
             "descriptors": max(0, len(machine.reactor.sockets) - len(instance.callers.connections) - 1)
-            if machine.link is None
-            else 0,  # tables come and go over connections of members
+            if machine.peer_link is None
+            else 0,  # peers open and close connections to exchange tables
             "strangers": max(
                 0, len(instance.callers.awaiting_first_request) - len(instance.callers.connections)
             ),
@@ -1055,22 +1095,22 @@
             self.timeline.steps,
             len(plan.asks),
             plan.instances,
-            came=[(kind.value, begin, end) for kind, begin, end in self.came],
-            pairs=sorted(overlapping_fault_kinds(plan, self.came)),
+            came=[(kind.value, begin, end) for kind, begin, end in self.applied_faults],
+            pairs=sorted(overlapping_fault_kinds(plan, self.applied_faults)),
             judged=dict(self.judged),
             states=dict(states),
         )
-        if self.broken is not None:
-            broken, who, at = self.broken
+        if self.violation is not None:
+            violation, who, at = self.violation
             outcome.rule, outcome.ref, outcome.what, outcome.who, outcome.at = (
-                broken.rule,
-                broken.ref,
-                broken.detail,
+                violation.rule,
+                violation.ref,
+                violation.detail,
                 who,
                 at,
             )
             recent = list(self.recent)
-            of_txn = [line for line in recent if broken.ref and line.endswith(broken.ref)][-12:]
+            of_txn = [line for line in recent if violation.ref and line.endswith(violation.ref)][-12:]
             of_instance = [line for line in recent if line.split()[1] in (who, "world")][-12:]
             outcome.recent = [*of_txn, "--", *of_instance]
         return outcome
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -700,7 +700,7 @@
     plan = draw(replace(load_scenario("any"), instances=(2, 2), txns=(60, 60), faults=(2, 4)), 4)
     outcome = run_plan(plan)
     assert outcome.rule and outcome.who and outcome.recent
-    smaller, best, tries = shrink(plan, outcome, seconds=600, most=60)
+    smaller, best, tries = shrink(plan, outcome, seconds=600, max_tries=60)
     assert best.rule == outcome.rule and best.steps <= outcome.steps / 2 and tries > 3
     assert smaller.size() < plan.size() and run_plan(from_json(to_json(smaller))).digest == best.digest
 
