--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -1,5 +1,4 @@
-"""The simulator: that it is one (order, network, determinism), that its oracles judge, and what CI plays of
-it."""
+"""Tests the simulator (event order, network, determinism) and its oracles, and runs the simulations of CI."""
 
 import os
 import random
@@ -41,40 +40,40 @@
 from limeridge.sim.world import World
 
 JOBS = os.cpu_count() or 1
-FIXED = 300  # seeds that CI plays
+FIXED_SEED_COUNT = 300  # of scenario "any", run by CI
 
 
 # ---- the network and the order
 
 
-class Talk(Protocol):
+class RecordingProtocol(Protocol):
     def __init__(self) -> None:
-        self.got, self.ends = b"", []
+        self.received, self.close_reasons = b"", []
 
     def dataReceived(self, data: bytes) -> None:
-        self.got += data
+        self.received += data
 
     def connectionLost(self, reason: Any = None) -> None:
-        self.ends.append(reason.type.__name__)
+        self.close_reasons.append(reason.type.__name__)
 
 
-class Side(ClientFactory):
+class RecordingFactory(ClientFactory):
     noisy = False
 
     def __init__(self) -> None:
-        self.talks: list[Talk] = []
+        self.protocols: list[RecordingProtocol] = []
         self.failures: list[str] = []
 
-    def buildProtocol(self, addr: Any) -> Talk:
-        self.talks.append(Talk())
-        return self.talks[-1]
+    def buildProtocol(self, addr: Any) -> RecordingProtocol:
+        self.protocols.append(RecordingProtocol())
+        return self.protocols[-1]
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
         self.failures.append(reason.type.__name__)
 
 
-class Pair:
-    """Two processes, `b` listening; faults of their code are raised."""
+class ConnectedPair:
+    """Two processes on a virtual network, `b` listening; collects exceptions in `faults`."""
 
     def __init__(self, seed: int = 1, quantum: int = 1, **conditions: Any) -> None:
         self.timeline = Timeline(random.Random(seed), quantum)
@@ -85,18 +84,18 @@
             Reactor(self.network, Life(n, ip), self.faults.append)
             for n, ip in (("a", "127.0.0.1"), ("b", "127.0.0.2"))
         )
-        self.near, self.far = Side(), Side()
-        self.port = self.b.listenTCP(80, self.far)
+        self.client, self.server = RecordingFactory(), RecordingFactory()
+        self.port = self.b.listenTCP(80, self.server)
 
-    def go(self, us: int) -> None:
+    def advance(self, us: int) -> None:
         until = self.timeline.now + us
         while (event := self.timeline.step(until)) is not None:
             event.call(*event.args)
 
-    def connect(self) -> tuple[Talk, Talk]:
-        self.a.connectTCP("127.0.0.2", 80, self.near)
-        self.go(100_000)
-        return self.near.talks[-1], self.far.talks[-1]
+    def connect(self) -> tuple[RecordingProtocol, RecordingProtocol]:
+        self.a.connectTCP("127.0.0.2", 80, self.client)
+        self.advance(100_000)
+        return self.client.protocols[-1], self.server.protocols[-1]
 
 
 @settings(max_examples=60, derandomize=True, deadline=None)
@@ -106,115 +105,123 @@
     st.sampled_from([64, 1_000, 65_536]),
     st.sampled_from([0.0, 0.5, 1.0]),
 )
-def test_bytes_arrive_whole_in_order_and_once(
+def test_bytes_arrive_completely_in_order_and_once(
     parts: list[bytes], seed: int, window: int, split: float
 ) -> None:
-    pair = Pair(seed, window=window, split=split, most=3_000)
-    near, far = pair.connect()
+    pair = ConnectedPair(seed, window=window, split=split, most=3_000)
+    client, server = pair.connect()
     for part in parts:
-        near.transport.write(part)
-        pair.go(random.Random(seed).randrange(2_000))
-    near.transport.loseConnection()
-    pair.go(60 * SECOND)
-    assert far.got == b"".join(parts) and near.ends == far.ends == ["ConnectionDone"]
+        client.transport.write(part)
+        pair.advance(random.Random(seed).randrange(2_000))
+    client.transport.loseConnection()
+    pair.advance(60 * SECOND)
+    assert server.received == b"".join(parts) and client.close_reasons == server.close_reasons == [
+        "ConnectionDone"
+    ]
     assert len(pair.a.sockets) == len(pair.b.sockets) == 0 and not pair.faults
 
 
-def test_a_writer_whose_peer_does_not_read_is_told_to_pause_and_buffers_are_bounded() -> None:
-    pair = Pair(window=5_000)
-    near, far = pair.connect()
-    far.transport.pauseProducing()
-    told: list[str] = []
+def test_writer_is_paused_and_buffers_are_bounded_while_the_peer_does_not_read() -> None:
+    pair = ConnectedPair(window=5_000)
+    client, server = pair.connect()
+    server.transport.pauseProducing()
+    producer_calls: list[str] = []
 
     class Producer:
         def pauseProducing(self) -> None:
-            told.append("pause")
+            producer_calls.append("pause")
 
         def resumeProducing(self) -> None:
-            told.append("resume")
+            producer_calls.append("resume")
 
         def stopProducing(self) -> None:
-            told.append("stop")
-
-    near.transport.registerProducer(Producer(), True)
-    near.transport.write(b"x" * 100_000)
-    pair.go(SECOND)
-    assert told == ["pause"] and len(far.transport.inn.inbox) == 5_000
-    far.transport.resumeProducing()
-    pair.go(10 * SECOND)
-    assert told == ["pause", "resume"] and len(far.got) == 100_000
-
-
-def test_ends_of_connections_as_the_real_ones_tell_them() -> None:
-    pair = Pair()
-    near, far = pair.connect()
-    near.transport.write(b"lost with it")
-    near.transport.abortConnection()
-    pair.go(SECOND)
-    assert near.ends == ["ConnectionAborted"] and far.ends == ["ConnectionLost"] and far.got == b""
-    near, far = pair.connect()
-    far.transport.pauseProducing()
-    near.transport.write(b"never read")
-    pair.go(SECOND)
-    far.transport.loseConnection()  # with unread input: a reset
-    pair.go(SECOND)
-    assert near.ends == ["ConnectionLost"] and far.ends == ["ConnectionDone"]
-    near, far = pair.connect()
-    near.transport.loseWriteConnection()  # half a close is an end for a protocol that knows no halves
-    pair.go(SECOND)
-    assert far.ends == ["ConnectionDone"] and near.ends == ["ConnectionDone"]
-    near, far = pair.connect()
+            producer_calls.append("stop")
+
+    client.transport.registerProducer(Producer(), True)
+    client.transport.write(b"x" * 100_000)
+    pair.advance(SECOND)
+    assert producer_calls == ["pause"] and len(server.transport.inn.inbox) == 5_000
+    server.transport.resumeProducing()
+    pair.advance(10 * SECOND)
+    assert producer_calls == ["pause", "resume"] and len(server.received) == 100_000
+
+
+def test_connection_close_reasons_match_real_sockets() -> None:
+    pair = ConnectedPair()
+    client, server = pair.connect()
+    client.transport.write(b"lost with it")
+    client.transport.abortConnection()
+    pair.advance(SECOND)
+    assert (
+        client.close_reasons == ["ConnectionAborted"]
+        and server.close_reasons == ["ConnectionLost"]
+        and server.received == b""
+    )
+    client, server = pair.connect()
+    server.transport.pauseProducing()
+    client.transport.write(b"never read")
+    pair.advance(SECOND)
+    server.transport.loseConnection()  # unread input causes a reset
+    pair.advance(SECOND)
+    assert client.close_reasons == ["ConnectionLost"] and server.close_reasons == ["ConnectionDone"]
+    client, server = pair.connect()
+    client.transport.loseWriteConnection()  # closes fully if the protocol does not support half-close
+    pair.advance(SECOND)
+    assert server.close_reasons == ["ConnectionDone"] and client.close_reasons == ["ConnectionDone"]
+    client, server = pair.connect()
     pair.b.shut(in_order=False)
-    pair.go(SECOND)
-    assert near.ends == ["ConnectionLost"] and far.ends == []  # a killed process hears nothing
-    pair.a.connectTCP("127.0.0.2", 80, pair.near)
-    pair.go(SECOND)
-    assert pair.near.failures == ["ConnectionRefusedError"]
+    pair.advance(SECOND)
+    # a killed process gets no callback
+    assert client.close_reasons == ["ConnectionLost"] and server.close_reasons == []
+    pair.a.connectTCP("127.0.0.2", 80, pair.client)
+    pair.advance(SECOND)
+    assert pair.client.failures == ["ConnectionRefusedError"]
 
 
-def test_cut_ways_hold_segments_back_and_a_full_backlog_or_a_pause_keeps_newcomers_waiting() -> None:
-    pair = Pair()
-    near, far = pair.connect()
+def test_cuts_delay_segments_and_a_full_backlog_or_a_pause_delays_connections() -> None:
+    pair = ConnectedPair()
+    client, server = pair.connect()
     pair.links.add_cut("127.0.0.1", "127.0.0.2", both=False)
-    near.transport.write(b"held")
-    far.transport.write(b"through")
-    pair.go(SECOND)
-    assert far.got == b"" and near.got == b"through"
+    client.transport.write(b"held")
+    server.transport.write(b"through")
+    pair.advance(SECOND)
+    assert server.received == b"" and client.received == b"through"
     pair.links.remove_cut("127.0.0.1", "127.0.0.2", both=False)
-    pair.go(SECOND)
-    assert far.got == b"held"
+    pair.advance(SECOND)
+    assert server.received == b"held"
     pair.b.life.paused, pair.links.conditions.backlog = True, 2
     for _ in range(6):
-        pair.a.connectTCP("127.0.0.2", 80, pair.near, timeout=2)
-    pair.go(SECOND)
-    assert len(pair.near.talks) == 1 + 3 and len(pair.far.talks) == 1  # accepted by its machine, and silent
-    pair.go(2 * SECOND)
-    assert pair.near.failures == ["TimeoutError"] * 3
+        pair.a.connectTCP("127.0.0.2", 80, pair.client, timeout=2)
+    pair.advance(SECOND)
+    # accepted by the machine, not by the paused process
+    assert len(pair.client.protocols) == 1 + 3 and len(pair.server.protocols) == 1
+    pair.advance(2 * SECOND)
+    assert pair.client.failures == ["TimeoutError"] * 3
     pair.timeline.resume(pair.b.life)
-    pair.go(SECOND)
-    assert len(pair.far.talks) == 4
+    pair.advance(SECOND)
+    assert len(pair.server.protocols) == 4
 
 
-def test_datagrams_are_lost_doubled_and_late() -> None:
-    pair = Pair(lost=0.3, doubled=0.3, late=0.3)
-    heard: list[bytes] = []
+def test_datagrams_are_lost_duplicated_and_reordered() -> None:
+    pair = ConnectedPair(lost=0.3, doubled=0.3, late=0.3)
+    received: list[bytes] = []
 
-    class Ear:
+    class DatagramProtocol:
         transport = None
 
         def makeConnection(self, transport: Any) -> None:
             self.transport = transport
 
         def datagramReceived(self, data: bytes, addr: Any) -> None:
-            heard.append(data)
+            received.append(data)
 
-    ear, mouth = Ear(), Ear()
-    pair.b.listenUDP(9, ear)
-    pair.a.listenUDP(0, mouth)
+    receiver, sender = DatagramProtocol(), DatagramProtocol()
+    pair.b.listenUDP(9, receiver)
+    pair.a.listenUDP(0, sender)
     for number in range(200):
-        mouth.transport.write(b"%d" % number, ("127.0.0.2", 9))  # type: ignore[attr-defined]
-    pair.go(SECOND)
-    numbers = [int(data) for data in heard]
+        sender.transport.write(b"%d" % number, ("127.0.0.2", 9))  # type: ignore[attr-defined]
+    pair.advance(SECOND)
+    numbers = [int(data) for data in received]
     assert 100 < len(set(numbers)) < 200 < len(numbers) + 60 and len(numbers) > len(set(numbers))
     assert numbers != sorted(numbers)
 
@@ -225,8 +232,8 @@
     st.lists(st.integers(0, 20), min_size=2, max_size=30),
     st.sampled_from([1, 7, 100]),
 )
-def test_time_never_goes_back_and_a_grid_makes_ticks_meet(seed: int, waits: list[int], quantum: int) -> None:
-    def play(ties: Ties = Ties.DRAWN) -> list[tuple[int, int]]:
+def test_time_is_monotonic_and_rounded_to_the_quantum(seed: int, waits: list[int], quantum: int) -> None:
+    def run_order(ties: Ties = Ties.DRAWN) -> list[tuple[int, int]]:
         timeline, seen = Timeline(random.Random(seed), quantum, ties), []
         for number, wait in enumerate(waits):
             timeline.schedule(START_TIME + wait, None, "x", seen.append, number, wire=number % 2 == 0)
@@ -236,18 +243,18 @@
             order.append((event.when, seen[-1]))
         return order
 
-    order = play()
-    assert order == play() and sorted(n for _, n in order) == list(range(len(waits)))
+    order = run_order()
+    assert order == run_order() and sorted(n for _, n in order) == list(range(len(waits)))
     assert [when for when, _ in order] == sorted(when for when, _ in order)
     assert all(when % quantum == 0 or when == START_TIME for when, _ in order)
     for ties, first in ((Ties.WIRE_FIRST, 0), (Ties.TIMERS_FIRST, 1)):
-        later = [(when, n) for when, n in play(ties) if when > START_TIME]
+        later = [(when, n) for when, n in run_order(ties) if when > START_TIME]
         for (one, a), (two, b) in combinations(later, 2):
             assert one != two or a % 2 == b % 2 or a % 2 == first
 
 
-def test_what_the_virtual_reactor_lacks_is_refused_by_its_name() -> None:
-    pair = Pair()
+def test_unsupported_reactor_methods_raise_errors_that_name_them() -> None:
+    pair = ConnectedPair()
     with pytest.raises(NotImplementedError, match="no threads"):
         pair.a.callInThread(print)
     with pytest.raises(AttributeError, match="no addReader"):
@@ -259,9 +266,11 @@
 # ---- determinism
 
 
-def test_a_seed_is_the_same_in_any_process_and_in_the_middle_of_a_batch() -> None:
+def test_digest_of_a_seed_is_the_same_in_any_process_and_batch() -> None:
     seeds = [11, 12, 13]
-    here = {outcome.seed: outcome.digest for outcome in map(lambda s: run_seed("any", s), reversed(seeds))}
+    in_process = {
+        outcome.seed: outcome.digest for outcome in map(lambda s: run_seed("any", s), reversed(seeds))
+    }
     batch = {outcome.seed: outcome.digest for outcome in explore("any", range(10, 14), min(JOBS, 2))}
     code = "from limeridge.sim.explore import run_seed; print(run_seed('any', 12).digest)"
     for hash_seed in ("0", "77"):
@@ -272,18 +281,18 @@
             check=True,
             text=True,
         )
-        assert done.stdout.strip() == here[12]
-    assert {seed: batch[seed] for seed in seeds} == here
+        assert done.stdout.strip() == in_process[12]
+    assert {seed: batch[seed] for seed in seeds} == in_process
 
 
-def test_a_plan_is_kept_as_text_and_its_run_as_a_trace(tmp_path: Path) -> None:
+def test_plan_as_json_and_run_as_trace_can_be_read_back(tmp_path: Path) -> None:
     plan = draw(load_scenario("any"), 5)
-    again = from_json(to_json(plan))
-    assert again == plan and draw(load_scenario("any"), 5) == plan
+    restored = from_json(to_json(plan))
+    assert restored == plan and draw(load_scenario("any"), 5) == plan
     path = tmp_path / "5.trace"
     with trace.Writer(path, {"seed": 5}) as writer:
-        outcome = run_plan(again, writer.record)
-    assert outcome.digest == run_plan(plan).digest  # listening changes nothing
+        outcome = run_plan(restored, writer.record)
+    assert outcome.digest == run_plan(plan).digest  # recording a trace does not change the run
     entries = list(trace.read_entries(path))
     assert entries[-1].step == outcome.steps and trace.read_head(path)["seed"] == 5
     assert sum(entry.kind == "asked" for entry in entries) >= len(plan.asks) / 2
@@ -296,11 +305,11 @@
         trace.read_head(tmp_path / "no")
 
 
-# ---- what CI plays
+# ---- simulations run by CI
 
 
 @pytest.mark.parametrize("name", [name for name in names() if name != "any"])
-def test_named_scenarios_hold(name: str) -> None:
+def test_named_scenarios_violate_no_rule(name: str) -> None:
     broken = [
         f"seed {outcome.seed}: {outcome.rule}: {outcome.what}"
         for outcome in explore(name, range(8), JOBS)
@@ -309,9 +318,9 @@
     assert not broken, "\n".join(broken)
 
 
-def test_the_calls_of_two_lives_stay_within_one_share() -> None:
-    """A share used in full up to the kill, and a successor at once: whatever the life before has used of the
-    window, it may have used last."""
+def test_calls_across_a_restart_stay_within_the_share() -> None:
+    """Guards against a successor that ignores its predecessor's calls: the predecessor uses its full share
+    until it is killed, the successor starts at once, and both together must stay within the share."""
     ranges = replace(
         load_scenario("restart-small-share"),
         instances=(1, 1),
@@ -332,18 +341,18 @@
     assert not broken, "\n".join(broken)
 
 
-def test_fixed_seeds_hold_and_meet_what_they_are_for() -> None:
+def test_fixed_seeds_violate_no_rule_and_cover_faults_and_rules() -> None:
     coverage = Coverage()
-    for outcome in explore("any", range(FIXED), JOBS):
+    for outcome in explore("any", range(FIXED_SEED_COUNT), JOBS):
         coverage.add(outcome)
         assert not outcome.rule, f"limeridge sim replay {outcome.seed}: {outcome.rule}: {outcome.what}"
-    # Faults among peers come where instances know each other.
-    fleets = Coverage()
+    # Peer faults occur only in scenarios with peers.
+    peer_coverage = Coverage()
     for outcome in explore("peers", range(8), JOBS):
-        fleets.add(outcome)
+        peer_coverage.add(outcome)
         assert not outcome.rule, f"limeridge sim replay {outcome.seed}: {outcome.rule}: {outcome.what}"
-    assert set(coverage.faults) | set(fleets.faults) == {kind.value for kind in Kind}
-    assert all(fleets.checks_by_rule()[rule] >= 8 for rule in ("limit", "known", "in-use", "datagram"))
+    assert set(coverage.faults) | set(peer_coverage.faults) == {kind.value for kind in Kind}
+    assert all(peer_coverage.checks_by_rule()[rule] >= 8 for rule in ("limit", "known", "in-use", "datagram"))
     assert coverage.least_instances >= 2 and coverage.txns / coverage.runs >= 130
     judged = coverage.checks_by_rule()
     for rule in (
@@ -370,7 +379,7 @@
     assert coverage.states["settled"] > 0.4 * coverage.txns
 
 
-def test_the_corpus_holds() -> None:
+def test_corpus_plans_violate_no_rule() -> None:
     cases = list(corpus.load_cases())
     assert cases
     for case in cases:
@@ -378,10 +387,10 @@
         assert not outcome.rule, f"{case.name}: {outcome.rule}: {outcome.what}"
 
 
-# ---- the oracles judge
+# ---- oracles
 
 
-QUICK = (
+QUICK_DEFECTS = (
     "cursor-kept",
     "advice-unit",
     "no-prior",
@@ -397,8 +406,8 @@
 )
 
 
-@pytest.mark.parametrize("name", QUICK)
-def test_a_defect_put_in_is_found(name: str) -> None:
+@pytest.mark.parametrize("name", QUICK_DEFECTS)
+def test_planted_defect_is_found(name: str) -> None:
     [mutant] = [mutant for mutant in mutants.MUTANTS if mutant.name == name]
     [row] = mutants.hunt([mutant], "any", most=25, starts=1, jobs=1)
     assert row.seeds[0] is not None, mutant.what
@@ -407,26 +416,26 @@
 @pytest.mark.parametrize(
     "name", ["key-tenant-unchecked", "key-refused-to-owner", "close-whole", "dropped-runs"]
 )
-def test_a_defect_that_bad_callers_meet_is_found(name: str) -> None:
+def test_planted_defect_is_found_with_bad_callers(name: str) -> None:
     [mutant] = [mutant for mutant in mutants.MUTANTS if mutant.name == name]
     [row] = mutants.hunt([mutant], "bad-callers", most=10, starts=1, jobs=1)
     assert row.seeds[0] is not None, mutant.what
 
 
-def test_every_defect_still_has_its_place() -> None:
+def test_every_defect_can_still_be_planted() -> None:
     assert len({mutant.name for mutant in mutants.MUTANTS}) == len(mutants.MUTANTS) >= 40
     for mutant in mutants.MUTANTS:
         compile(mutants.changed(mutant), mutant.file, "exec")
 
 
-def test_a_defect_that_came_too_late_is_no_defect_not_found() -> None:
+def test_planting_a_defect_after_import_is_an_error() -> None:
     with pytest.raises(mutants.Misplaced, match="imported before"):
         mutants.seek(mutants.MUTANTS[0], "any", 0, 1)
     sys.meta_path.pop(0)
 
 
-class Book:
-    """Oracles fed by hand: one instance, a product of each kind."""
+class OracleHarness:
+    """Feeds events to the oracles of one instance, with a product of each kind."""
 
     def __init__(self) -> None:
         products = tuple(
@@ -441,31 +450,31 @@
         plan = replace(
             plan, quantum=1, memory_kb=500.0, calls_out=2.0, calls_over=SECOND, grace=200_000, cores=1
         )
-        self.now, self.notes, self.is_paused = START_TIME, [], False
+        self.now, self.recorded_events, self.is_paused = START_TIME, [], False
         self.oracles = Oracles(
             plan,
             START_TIME,
             lambda: 0,
             lambda: self.is_paused,
-            lambda *note: self.notes.append(note),
+            lambda *event: self.recorded_events.append(event),
             Counter(),
             START_TIME,
             False,
         )
         self.cursor = 0
-        self.see(CommandSent(9, "OPEN", "", "", "", 0, ""))
+        self.feed(CommandSent(9, "OPEN", "", "", "", 0, ""))
 
-    def see(self, event: Any) -> None:
+    def feed(self, event: Any) -> None:
         self.oracles.turn += 1
         self.oracles.on_event(self.now, event)
 
-    def go(self, us: int) -> None:
+    def advance(self, us: int) -> None:
         self.now += us
         self.oracles.on_time_advance(self.now)
 
-    def ask(self, number: int, product: str = "look", key: str = "", **more: Any) -> str:
+    def send_request(self, number: int, product: str = "look", key: str = "", **more: Any) -> str:
         ref = f"{number:016x}"
-        self.see(
+        self.feed(
             TxnReceived(
                 1,
                 number,
@@ -474,229 +483,230 @@
                 more.get("customer", ""),
                 key,
                 self.now // 1_000,
-                more.get("patience", 1_000.0),
+                more.get("time_limit_ms", 1_000.0),
                 more.get("size", 1.0),
                 more.get("doc", "Ym9keQ=="),
             )
         )
         return ref
 
-    def run(self, ref: str, product: str = "look", doc: str = "Ym9keQ==") -> None:
-        self.see(CommandSent(9, "SCHED", ref, product, doc, -1, ""))
+    def start_run(self, ref: str, product: str = "look", doc: str = "Ym9keQ==") -> None:
+        self.feed(CommandSent(9, "SCHED", ref, product, doc, -1, ""))
 
-    def note(self, event: str, ref: str, fate: str = "", arg: str = "") -> int:
+    def send_notice(self, event: str, ref: str, fate: str = "", arg: str = "") -> int:
         self.cursor += 1
-        self.see(NoticeReceived(9, event, self.cursor, ref, fate, arg, ""))
+        self.feed(NoticeReceived(9, event, self.cursor, ref, fate, arg, ""))
         return self.cursor
 
-    def answer(self, number: int, kind: str = "settled", doc: str = "") -> None:
-        self.see(AnswerSent(1, number, kind, doc, 0.0, False, None))
-
-    def breaks(self, rule: str, *last: Any) -> None:
-        call, *args = last
-        with pytest.raises(RuleViolation) as broken:
-            call(*args)
-        assert broken.value.rule == rule and rule in RULES
-
-
-def test_oracles_of_answers() -> None:
-    book = Book()
-    ref = book.ask(1)
-    book.breaks("due", book.go, 1_100_000)
-    book = Book()
-    book.ask(1)
-    book.is_paused = True
-    book.go(1_500_000)  # a machine that stands still owes nothing yet
-    book.is_paused = False
-    book.oracles.on_resume(book.now)
-    book.go(50_000)
-    book.breaks("due", book.go, 100_000)
-    book = Book()
-    ref = book.ask(1)
-    book.run(ref)
-    book.note("REAP", ref, "ok", "cmVz")
-    book.breaks("kept-back", book.answer, 1, "voided")
-    book = Book()
-    ref = book.ask(1)
-    book.run(ref)
-    book.note("REAP", ref, "ok", "cmVz")
-    book.breaks("result", book.answer, 1, "settled", "b3RoZXI=")
-    book = Book()
-    ref = book.ask(1)
-    book.run(ref)
-    book.note("REAP", ref, "ok", "cmVz")
-    book.answer(1, "settled", "cmVz")
-    book.breaks("one-answer", book.answer, 1, "declined")
-    book.breaks("one-answer", book.answer, 2, "declined")
-    ref = book.ask(3)
-    book.see(RevokeReceived(1, 3, ref))
-    book.answer(3, "declined")  # one after the caller is gone does no harm
-    book.breaks("one-answer", book.answer, 3, "declined")
-    ref = book.ask(4, "pay")
-    book.run(ref, "pay")
-    book.breaks("unsaid", book.answer, 4, "declined")
-    book.ask(5)
-    book.breaks("stop", book.oracles.on_process_exit, book.now)
-
-
-def test_oracles_of_runs_and_calls() -> None:
-    book = Book()
-    ref = book.ask(1)
-    book.breaks("unchanged", book.run, ref, "look", "b3RoZXI=")
-    book.breaks("form", book.run, "f" * 16)
-    book = Book()
-    one, two = book.ask(1, "book", "k"), book.ask(2, "book", "k")
-    book.run(one, "book")
-    book.go(5 * SECOND // 10)
-    book.oracles.clock_stepped_at = -10 * SECOND
-    book.breaks("twice", book.run, two, "book")
-    book = Book()
-    ref = book.ask(1, "pay")
-    book.run(ref, "pay")
-    book.note("IOREQ", ref, arg="Y2FsbA==")
-    book.breaks("unchanged", book.see, CallSent(5, ref, 100, b"other"))
-    book.see(CallSent(5, ref, 100, b"call"))
-    book.see(ReplyReceived(5, 500, False, b""))
-    book.breaks("call-twice", book.see, CallSent(6, ref, 100, b"call"))
-    book.breaks("reply", book.see, CommandSent(9, "IODONE", ref, "", "cmVwbHk=", -1, ""))
-    book = Book()
-    ref = book.ask(1)
-    book.run(ref)
-    cursor = book.note("IOREQ", ref, arg="Y2FsbA==")
-    book.breaks("left-out", book.see, CommandSent(9, "NOIO", ref, "", "", cursor + 1, ""))
-    book.see(CallSent(5, ref, 100, b"call"))
-    book.see(ReplyReceived(5, 200, False, b"reply"))
-    book.breaks("unchanged", book.see, CommandSent(9, "IODONE", ref, "", "b3RoZXI=", -1, ""))
-    book.breaks("call-kept", book.see, CommandSent(9, "NOIO", ref, "", "", cursor, ""))
-    book.breaks("cursor", book.see, CommandSent(10, "OPEN", "", "", "", cursor - 1, ""))
-
-
-def test_oracles_of_keys() -> None:
-    def owned() -> Book:
-        """A book with a keyed request that ended well, and whose result is kept."""
-        book = Book()
-        book.oracles.clock_stepped_at = -10 * SECOND
-        owner = book.ask(1, "book", "k", customer="c0")
-        book.run(owner, "book")
-        book.note("REAP", owner, "ok", "cmVz")
-        book.answer(1, "settled", "cmVz")
-        book.go(100_000)
-        return book
+    def send_answer(self, number: int, kind: str = "settled", doc: str = "") -> None:
+        self.feed(AnswerSent(1, number, kind, doc, 0.0, False, None))
+
+    def assert_violates(self, rule: str, *call: Any) -> None:
+        function, *args = call
+        with pytest.raises(RuleViolation) as violation:
+            function(*args)
+        assert violation.value.rule == rule and rule in RULES
+
+
+def test_oracles_for_answers() -> None:
+    harness = OracleHarness()
+    ref = harness.send_request(1)
+    harness.assert_violates("due", harness.advance, 1_100_000)
+    harness = OracleHarness()
+    harness.send_request(1)
+    harness.is_paused = True
+    harness.advance(1_500_000)  # no deadline is checked while the machine is paused
+    harness.is_paused = False
+    harness.oracles.on_resume(harness.now)
+    harness.advance(50_000)
+    harness.assert_violates("due", harness.advance, 100_000)
+    harness = OracleHarness()
+    ref = harness.send_request(1)
+    harness.start_run(ref)
+    harness.send_notice("REAP", ref, "ok", "cmVz")
+    harness.assert_violates("kept-back", harness.send_answer, 1, "voided")
+    harness = OracleHarness()
+    ref = harness.send_request(1)
+    harness.start_run(ref)
+    harness.send_notice("REAP", ref, "ok", "cmVz")
+    harness.assert_violates("result", harness.send_answer, 1, "settled", "b3RoZXI=")
+    harness = OracleHarness()
+    ref = harness.send_request(1)
+    harness.start_run(ref)
+    harness.send_notice("REAP", ref, "ok", "cmVz")
+    harness.send_answer(1, "settled", "cmVz")
+    harness.assert_violates("one-answer", harness.send_answer, 1, "declined")
+    harness.assert_violates("one-answer", harness.send_answer, 2, "declined")
+    ref = harness.send_request(3)
+    harness.feed(RevokeReceived(1, 3, ref))
+    harness.send_answer(3, "declined")  # one answer after a revoke is allowed
+    harness.assert_violates("one-answer", harness.send_answer, 3, "declined")
+    ref = harness.send_request(4, "pay")
+    harness.start_run(ref, "pay")
+    harness.assert_violates("unsaid", harness.send_answer, 4, "declined")
+    harness.send_request(5)
+    harness.assert_violates("stop", harness.oracles.on_process_exit, harness.now)
+
+
+def test_oracles_for_runs_and_calls() -> None:
+    harness = OracleHarness()
+    ref = harness.send_request(1)
+    harness.assert_violates("unchanged", harness.start_run, ref, "look", "b3RoZXI=")
+    harness.assert_violates("form", harness.start_run, "f" * 16)
+    harness = OracleHarness()
+    one, two = harness.send_request(1, "book", "k"), harness.send_request(2, "book", "k")
+    harness.start_run(one, "book")
+    harness.advance(5 * SECOND // 10)
+    harness.oracles.clock_stepped_at = -10 * SECOND
+    harness.assert_violates("twice", harness.start_run, two, "book")
+    harness = OracleHarness()
+    ref = harness.send_request(1, "pay")
+    harness.start_run(ref, "pay")
+    harness.send_notice("IOREQ", ref, arg="Y2FsbA==")
+    harness.assert_violates("unchanged", harness.feed, CallSent(5, ref, 100, b"other"))
+    harness.feed(CallSent(5, ref, 100, b"call"))
+    harness.feed(ReplyReceived(5, 500, False, b""))
+    harness.assert_violates("call-twice", harness.feed, CallSent(6, ref, 100, b"call"))
+    harness.assert_violates("reply", harness.feed, CommandSent(9, "IODONE", ref, "", "cmVwbHk=", -1, ""))
+    harness = OracleHarness()
+    ref = harness.send_request(1)
+    harness.start_run(ref)
+    cursor = harness.send_notice("IOREQ", ref, arg="Y2FsbA==")
+    harness.assert_violates("left-out", harness.feed, CommandSent(9, "NOIO", ref, "", "", cursor + 1, ""))
+    harness.feed(CallSent(5, ref, 100, b"call"))
+    harness.feed(ReplyReceived(5, 200, False, b"reply"))
+    harness.assert_violates("unchanged", harness.feed, CommandSent(9, "IODONE", ref, "", "b3RoZXI=", -1, ""))
+    harness.assert_violates("call-kept", harness.feed, CommandSent(9, "NOIO", ref, "", "", cursor, ""))
+    harness.assert_violates("cursor", harness.feed, CommandSent(10, "OPEN", "", "", "", cursor - 1, ""))
+
+
+def test_oracles_for_keys() -> None:
+    def with_stored_result() -> OracleHarness:
+        """A harness with a keyed request that succeeded and whose result is stored."""
+        harness = OracleHarness()
+        harness.oracles.clock_stepped_at = -10 * SECOND
+        owner = harness.send_request(1, "book", "k", customer="c0")
+        harness.start_run(owner, "book")
+        harness.send_notice("REAP", owner, "ok", "cmVz")
+        harness.send_answer(1, "settled", "cmVz")
+        harness.advance(100_000)
+        return harness
 
     for changes in ({"customer": "c1"}, {"customer": "c0", "doc": "b3RoZXI="}):
-        book = owned()
-        book.ask(2, "book", "k", **changes)
-        book.breaks("key-copied", book.answer, 2, "settled", "cmVz")
-        book = owned()
-        book.ask(2, "book", "k", **changes)
-        book.breaks("key-copied", book.answer, 2, "declined")
-        book = owned()
-        book.ask(2, "book", "k", **changes)
-        book.answer(2, "voided")
-        book.ask(3, "book", "k", customer="c0")
-        book.answer(3, "settled", "cmVz")
-        book.ask(4, "book", "k", customer="c0")
-        book.breaks("key-kept", book.answer, 4, "voided")
-
-
-def test_oracles_of_requests_that_cross_an_end() -> None:
-    def resting() -> Book:
-        """A book with a line whose request was answered."""
-        book = Book()
-        book.see(LineOpened(1))
-        book.ask(1)
-        book.answer(1, "voided")
-        return book
-
-    def late(ref: str, answered: bool = False, reset: bool = False) -> LateSenderClosed:
+        harness = with_stored_result()
+        harness.send_request(2, "book", "k", **changes)
+        harness.assert_violates("key-copied", harness.send_answer, 2, "settled", "cmVz")
+        harness = with_stored_result()
+        harness.send_request(2, "book", "k", **changes)
+        harness.assert_violates("key-copied", harness.send_answer, 2, "declined")
+        harness = with_stored_result()
+        harness.send_request(2, "book", "k", **changes)
+        harness.send_answer(2, "voided")
+        harness.send_request(3, "book", "k", customer="c0")
+        harness.send_answer(3, "settled", "cmVz")
+        harness.send_request(4, "book", "k", customer="c0")
+        harness.assert_violates("key-kept", harness.send_answer, 4, "voided")
+
+
+def test_oracles_for_requests_sent_as_the_connection_closes() -> None:
+    def with_idle_line() -> OracleHarness:
+        """A harness with an idle line whose request was answered."""
+        harness = OracleHarness()
+        harness.feed(LineOpened(1))
+        harness.send_request(1)
+        harness.send_answer(1, "voided")
+        return harness
+
+    def late_sender(ref: str, answered: bool = False, reset: bool = False) -> LateSenderClosed:
         return LateSenderClosed(1, ref, silent=False, warned=True, answered=answered, reset=reset)
 
-    book, ref = resting(), "f" * 16
-    book.see(LineClosing(1, Closing.HALF))
-    book.see(UnanswerableTxn(1, ref))
-    book.see(late(ref))  # dropped, and it saw the end of the stream
-    book.breaks("crossed", book.see, late(ref, reset=True))
-    book.breaks("crossed", book.run, ref)
-    book = resting()
-    ref = book.ask(2)
-    book.see(LineClosing(1, Closing.HALF))
-    book.see(late(ref, answered=True))
-    book.breaks("crossed", book.see, late(ref))  # read, and its answer did not come
-    book = resting()
-    book.see(LineClosing(1, Closing.ABORT))  # with room for all
-    book.breaks("crossed", book.see, late("f" * 16, reset=True))
-    book = resting()
+    harness, ref = with_idle_line(), "f" * 16
+    harness.feed(LineClosing(1, Closing.HALF))
+    harness.feed(UnanswerableTxn(1, ref))
+    harness.feed(late_sender(ref))  # not answered, but the caller saw the end of the stream
+    harness.assert_violates("crossed", harness.feed, late_sender(ref, reset=True))
+    harness.assert_violates("crossed", harness.start_run, ref)
+    harness = with_idle_line()
+    ref = harness.send_request(2)
+    harness.feed(LineClosing(1, Closing.HALF))
+    harness.feed(late_sender(ref, answered=True))
+    harness.assert_violates("crossed", harness.feed, late_sender(ref))  # read but not answered
+    harness = with_idle_line()
+    harness.feed(LineClosing(1, Closing.ABORT))  # although no room was needed
+    harness.assert_violates("crossed", harness.feed, late_sender("f" * 16, reset=True))
+    harness = with_idle_line()
     for line in range(2, 600):
-        book.see(LineOpened(line))
-    book.see(LineClosing(1, Closing.ABORT))
-    book.see(late("f" * 16, reset=True))  # it rested on after a farewell, and its place was needed
-
-
-def test_oracles_of_the_drain_and_of_what_a_server_survives() -> None:
-    book = Book()
-    book.oracles.clock_stepped_at = -10 * SECOND
-    book.oracles.on_drain_notice(book.now)
-    book.go(240_000)
-    book.run(book.ask(1))  # just on the way when the grace ended
-    book.go(100_000)
-    book.breaks("grace", book.run, book.ask(2))
-    book = Book()
+        harness.feed(LineOpened(line))
+    harness.feed(LineClosing(1, Closing.ABORT))
+    harness.feed(late_sender("f" * 16, reset=True))  # idle after a farewell, and room was needed
+
+
+def test_oracles_for_drain_overload_memory_and_call_limits() -> None:
+    harness = OracleHarness()
+    harness.oracles.clock_stepped_at = -10 * SECOND
+    harness.oracles.on_drain_notice(harness.now)
+    harness.advance(240_000)
+    harness.start_run(harness.send_request(1))  # in flight when the grace period ended
+    harness.advance(100_000)
+    harness.assert_violates("grace", harness.start_run, harness.send_request(2))
+    harness = OracleHarness()
     for number in range(1, 5):
-        book.run(book.ask(number))
-    book.breaks("crowd", book.run, book.ask(5))
-    book = Book()
-    book.run(book.ask(1, size=60.0))
-    book.go(30_000)
-    book.run(book.ask(2, size=2.0))
-    book.go(30_000)
-    book.breaks("memory", book.run, book.ask(3, size=60.0))
-    book = Book()
+        harness.start_run(harness.send_request(number))
+    harness.assert_violates("crowd", harness.start_run, harness.send_request(5))
+    harness = OracleHarness()
+    harness.start_run(harness.send_request(1, size=60.0))
+    harness.advance(30_000)
+    harness.start_run(harness.send_request(2, size=2.0))
+    harness.advance(30_000)
+    harness.assert_violates("memory", harness.start_run, harness.send_request(3, size=60.0))
+    harness = OracleHarness()
     for number in range(1, 4):
-        ref = book.ask(number)
-        book.run(ref)
-        book.note("IOREQ", ref, arg="Y2FsbA==")
-        book.see(CallSent(number, ref, 2_000, b"call"))
-    book.go(900_000)
-    ref = book.ask(4)
-    book.run(ref)
-    book.note("IOREQ", ref, arg="Y2FsbA==")
-    book.breaks("call-limit", book.see, CallSent(4, ref, 2_000, b"call"))
+        ref = harness.send_request(number)
+        harness.start_run(ref)
+        harness.send_notice("IOREQ", ref, arg="Y2FsbA==")
+        harness.feed(CallSent(number, ref, 2_000, b"call"))
+    harness.advance(900_000)
+    ref = harness.send_request(4)
+    harness.start_run(ref)
+    harness.send_notice("IOREQ", ref, arg="Y2FsbA==")
+    harness.assert_violates("call-limit", harness.feed, CallSent(4, ref, 2_000, b"call"))
+    # calls of the previous process
     for earlier in (
         (),
         [(START_TIME - SECOND, START_TIME)] * 2,
-    ):  # calls in hand of the life before, in all the window
-        book = Book()
-        book.oracles.earlier_calls = tuple(earlier)
+    ):
+        harness = OracleHarness()
+        harness.oracles.earlier_calls = tuple(earlier)
         for number in range(1, 5):
-            ref = book.ask(number)
-            book.run(ref)
-            book.note("IOREQ", ref, arg="Y2FsbA==")
+            ref = harness.send_request(number)
+            harness.start_run(ref)
+            harness.send_notice("IOREQ", ref, arg="Y2FsbA==")
             if number < 4:
-                book.see(CallSent(number, ref, 2_000, b"call"))
-        book.go(100_000)
+                harness.feed(CallSent(number, ref, 2_000, b"call"))
+        harness.advance(100_000)
         if earlier:
-            book.breaks("call-limit-lives", book.see, CallSent(4, ref, 2_000, b"call"))
+            harness.assert_violates("call-limit-lives", harness.feed, CallSent(4, ref, 2_000, b"call"))
         else:
-            book.see(CallSent(4, ref, 2_000, b"call"))
+            harness.feed(CallSent(4, ref, 2_000, b"call"))
 
 
-# ---- finding and making small
+# ---- reports and shrinking
 
 
-def test_a_failing_seed_tells_its_story_and_shrinks(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failing_seed_is_reported_and_shrinks(monkeypatch: pytest.MonkeyPatch) -> None:
     from limeridge.net.kernel import Kernel
 
-    take = Kernel._notice
-    counts = {"taken": 0}
+    original = Kernel._notice
+    counts = {"notices": 0}
 
-    def dropping(self: Any, notice: Any) -> None:
-        counts["taken"] += 1
+    def drop_every_ninth(self: Any, notice: Any) -> None:
+        counts["notices"] += 1
         if notice.news is not None and notice.cursor % 9 == 8:
             self.cursor = notice.cursor
             return
-        take(self, notice)
+        original(self, notice)
 
-    monkeypatch.setattr(Kernel, "_notice", dropping)
+    monkeypatch.setattr(Kernel, "_notice", drop_every_ninth)
     plan = draw(replace(load_scenario("any"), instances=(2, 2), txns=(60, 60), faults=(2, 4)), 4)
     outcome = run_plan(plan)
     assert outcome.rule and outcome.who and outcome.recent
@@ -705,7 +715,7 @@
     assert smaller.size() < plan.size() and run_plan(from_json(to_json(smaller))).digest == best.digest
 
 
-def test_forced_ties_are_met_both_ways() -> None:
+def test_scenarios_force_both_tie_orders() -> None:
     for name, ties in (("tie-wire-first", Ties.WIRE_FIRST), ("tie-timers-first", Ties.TIMERS_FIRST)):
         plan: Plan = draw(load_scenario(name), 1)
         assert plan.ties is ties and plan.quantum == 5_000
@@ -713,7 +723,7 @@
         assert not world.run().rule
 
 
-def test_the_stand_ins_play_a_day_with_a_real_instance_on_loopback_sockets() -> None:
+def test_stand_ins_serve_a_real_instance_over_loopback_sockets() -> None:
     done = subprocess.run(
         [sys.executable, "-m", "limeridge.trial.day", "2", "40", "7"],
         capture_output=True,
