--- a/limeridge/sim/oracles.py
+++ b/limeridge/sim/oracles.py
@@ -74,7 +74,7 @@
     "livelock": "virtual time advances",
     "limit": "calls at the ledger stay within the fleet's limit",
     "known": "after the quiet point all members know each other",
-    "in-use": "after the quiet point the whole limit is allotted again",
+    "in-use": "after the quiet point the limit is allotted again",
     "datagram": "no datagram exceeds its size limit",
     "heals": "after the quiet point every instance serves again",
     "left-over": "all tables are empty at the end",
--- a/limeridge/sim/world.py
+++ b/limeridge/sim/world.py
@@ -133,7 +133,7 @@
         kernel_life = self.kernel_life = Life(
             f"k{self.number}", kernel_ip(self.number), self.start_count, now
         )
-        self.kernel_reactor = Reactor(world.network, kernel_life, world.broken_standin)
+        self.kernel_reactor = Reactor(world.network, kernel_life, world.raise_standin_failure)
         boot = plan.boot / SECOND
         self.kernel = Kernel(
             self.kernel_reactor,
@@ -389,7 +389,7 @@
         except RuleViolation as violation:
             self.report_violation(violation, machine.name)
 
-    def broken_standin(self, failure: Failure) -> None:
+    def raise_standin_failure(self, failure: Failure) -> None:
         raise failure.value  # type: ignore[misc]
 
     def on_twisted_event(self, event: Any) -> None:
@@ -423,7 +423,7 @@
         self.probe_reactor = self.make_reactor("probe", PROBE_IP)
 
     def make_reactor(self, name: str, ip: str) -> Reactor:
-        return Reactor(self.network, Life(name, ip), self.broken_standin)
+        return Reactor(self.network, Life(name, ip), self.raise_standin_failure)
 
     def start_ledger(self) -> None:
         self.ledger_reactor = self.make_reactor("ledger", LEDGER_IP)
