--- a/limeridge/sim/links.py
+++ b/limeridge/sim/links.py
@@ -1,7 +1,7 @@
-"""What the virtual network does with a packet: its delay, its loss, its splitting, and who can reach whom.
+"""Conditions of the virtual network: packet delay, loss, splitting and reachability.
 
-It owns delays, partitions one way or both, spoilt addresses and the bounds of a connection (window, backlog,
-descriptors). It must never hold a byte or call a protocol: it is asked, and answers from the seed.
+This module draws delays and losses from the seed and keeps partitions (in one direction or both), extra delay
+or loss per address, and the connection limits (window, backlog). It holds no data and calls no protocol.
 """
 
 from __future__ import annotations
@@ -9,84 +9,88 @@
 import random
 from dataclasses import dataclass
 
-SYN_AGAIN = 200_000  # microseconds until a packet to a full backlog or over a cut way is sent again
-RESEND = 200_000  # the longest that a segment waits after a way is whole again: a sender probes by then
+SYN_RETRY_DELAY = 200_000  # microseconds, after a SYN met a full backlog or a cut path
+# Microseconds that a segment waits at most after a path is restored; the sender has probed by then.
+MAX_RESEND_DELAY = 200_000
 
 
 @dataclass(slots=True)
-class Weather:
-    """Ranges that a seed draws once."""
+class NetworkConditions:
+    """Network parameters, drawn once per seed; the field names are part of stored plans."""
 
-    least: int = 50  # microseconds a way
-    most: int = 400
+    least: int = 50  # minimum delay in one direction, microseconds
+    most: int = 400  # maximum delay in one direction, microseconds
     split: float = 0.1  # share of writes that arrive in pieces
-    join: float = 0.3  # share of arrivals that take along what came by then
+    join: float = 0.3  # share of arrivals that are coalesced with data that arrived by then
     bandwidth: int = 20_000_000  # bytes a second
-    window: int = 65_536  # bytes under way or not read, a direction
-    lost: float = 0.02  # of datagrams
-    doubled: float = 0.02
-    late: float = 0.05  # by several delays, so that they come out of order
+    window: int = 65_536  # bytes in flight or unread, per direction
+    lost: float = 0.02  # share of datagrams
+    doubled: float = 0.02  # share of datagrams
+    late: float = 0.05  # share of datagrams delayed by a multiple, which reorders them
     backlog: int = 128
 
 
 class Links:
-    """Who reaches whom, and how soon."""
+    """Reachability and delays between addresses."""
 
-    def __init__(self, chance: random.Random, weather: Weather) -> None:
-        self.chance, self.weather = chance, weather
-        self.cuts: dict[tuple[str, str], int] = {}  # ways from, to that are cut, and how many times
-        self.slow: dict[str, int] = {}  # microseconds more to and from an address
-        self.lossy: dict[str, float] = {}  # share of the datagrams from an address that gets lost besides
+    def __init__(self, rng: random.Random, conditions: NetworkConditions) -> None:
+        self.rng, self.conditions = rng, conditions
+        self.cut_counts: dict[tuple[str, str], int] = {}  # cuts in force, by (source, target)
+        self.extra_delays: dict[str, int] = {}  # microseconds, for packets to and from an address
+        self.extra_losses: dict[str, float] = {}  # additional share of lost datagrams, by source
 
-    def delay(self, source: str, target: str, size: int = 0) -> int:
+    def draw_delay(self, source: str, target: str, size: int = 0) -> int:
         """Microseconds from sending to arrival of `size` bytes."""
-        weather = self.weather
-        base = weather.least + int(self.chance.random() * (weather.most - weather.least))
-        more = self.slow.get(source, 0) + self.slow.get(target, 0) if self.slow else 0
-        return base + more + size * 1_000_000 // weather.bandwidth
-
-    def cut(self, source: str, target: str) -> bool:
-        """Whether the way is cut just now."""
-        return bool(self.cuts) and (source, target) in self.cuts
-
-    def sever(self, source: str, target: str, both: bool) -> None:
-        for way in ((source, target), (target, source))[: 1 + both]:
-            self.cuts[way] = self.cuts.get(way, 0) + 1
-
-    def mend(self, source: str, target: str, both: bool) -> None:
-        for way in ((source, target), (target, source))[: 1 + both]:
-            left = self.cuts.get(way, 0) - 1
-            if left > 0:
-                self.cuts[way] = left
+        conditions = self.conditions
+        base = conditions.least + int(self.rng.random() * (conditions.most - conditions.least))
+        extra_delay = (
+            self.extra_delays.get(source, 0) + self.extra_delays.get(target, 0) if self.extra_delays else 0
+        )
+        return base + extra_delay + size * 1_000_000 // conditions.bandwidth
+
+    def is_cut(self, source: str, target: str) -> bool:
+        """Whether packets from source to target are blocked."""
+        return bool(self.cut_counts) and (source, target) in self.cut_counts
+
+    def add_cut(self, source: str, target: str, both: bool) -> None:
+        for path in ((source, target), (target, source))[: 1 + both]:
+            self.cut_counts[path] = self.cut_counts.get(path, 0) + 1
+
+    def remove_cut(self, source: str, target: str, both: bool) -> None:
+        for path in ((source, target), (target, source))[: 1 + both]:
+            remaining = self.cut_counts.get(path, 0) - 1
+            if remaining > 0:
+                self.cut_counts[path] = remaining
             else:
-                self.cuts.pop(way, None)
+                self.cut_counts.pop(path, None)
 
-    def resend(self) -> int:
-        """How long after its last try a held-up segment is tried again."""
-        return 1_000 + int(self.chance.random() * RESEND)
+    def draw_resend_delay(self) -> int:
+        """Microseconds from the last attempt until a blocked segment is sent again."""
+        return 1_000 + int(self.rng.random() * MAX_RESEND_DELAY)
 
-    def whole(self) -> bool:
-        """Whether what is written now stays in one piece."""
-        return self.chance.random() >= self.weather.split
+    def draw_unsplit(self) -> bool:
+        """Whether a write arrives in one piece."""
+        return self.rng.random() >= self.conditions.split
 
-    def pieces(self, size: int) -> list[int]:
-        """Where `size` bytes are split on their way: ends of the pieces, the last one `size`."""
+    def draw_split_offsets(self, size: int) -> list[int]:
+        """End offsets of the pieces that `size` bytes are split into; the last one is `size`."""
         if size < 2:
             return [size]
-        cuts = sorted(
-            {1 + int(self.chance.random() * (size - 1)) for _ in range(1 + (self.chance.random() < 0.3))}
+        offsets = sorted(
+            {1 + int(self.rng.random() * (size - 1)) for _ in range(1 + (self.rng.random() < 0.3))}
         )
-        return [*(cut for cut in cuts if cut < size), size]
+        return [*(offset for offset in offsets if offset < size), size]
 
-    def joins(self) -> bool:
-        return self.chance.random() < self.weather.join
+    def draw_coalesces(self) -> bool:
+        """Whether an arrival is delivered together with the data that arrived by then."""
+        return self.rng.random() < self.conditions.join
 
-    def datagram(self, source: str, target: str) -> list[int]:
-        """Delays of the copies that arrive: none where it is lost."""
-        if self.cut(source, target) or self.chance.random() < self.weather.lost:
+    def draw_datagram_delays(self, source: str, target: str) -> list[int]:
+        """Delays of the copies that arrive; empty if the datagram is lost."""
+        if self.is_cut(source, target) or self.rng.random() < self.conditions.lost:
             return []
-        if self.lossy and self.chance.random() < self.lossy.get(source, 0.0):
+        if self.extra_losses and self.rng.random() < self.extra_losses.get(source, 0.0):
             return []
-        copies = 2 if self.chance.random() < self.weather.doubled else 1
-        late = 1 + 20 * (self.chance.random() < self.weather.late)
-        return [self.delay(source, target) * late for _ in range(copies)]
+        copies = 2 if self.rng.random() < self.conditions.doubled else 1
+        late_factor = 1 + 20 * (self.rng.random() < self.conditions.late)
+        return [self.draw_delay(source, target) * late_factor for _ in range(copies)]
--- a/limeridge/sim/scenario.py
+++ b/limeridge/sim/scenario.py
@@ -1,6 +1,6 @@
-"""Scenario files: a message of settings/scenario.proto into the ranges that a plan is drawn from.
+"""Scenario files: converts a message of settings/scenario.proto to the ranges that plans are drawn from.
 
-It owns the checks of a scenario across its fields. It must never draw.
+This module validates a scenario across its fields; it draws nothing.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from limeridge.settings import scenario_pb2 as pb
 from limeridge.settings.load import Checked, Unusable, load
 from limeridge.sim.plan import (
-    AMONG,
-    AT_INSTANCE,
-    FAR,
+    CUT_ENDPOINTS,
+    INSTANCE_FAULTS,
     MS,
-    PEERS,
-    RUDE_KINDS,
-    TRIGGERS,
+    PEER_FAULTS,
+    PEERS_ENDPOINT,
+    RUDE_CALLER_KINDS,
+    TRIGGER_EVENTS,
     Fault,
     Kind,
     Range,
@@ -27,10 +27,10 @@
 )
 from limeridge.sim.timeline import Ties
 
-USUAL = Ranges()
+DEFAULTS = Ranges()
 FOLDER = Path(__file__).parent / "scenarios"
 LIMITS: dict[str, tuple[float, float]] = {
-    "instances": (1, 230),  # each has an address of its own in 127.0.20.0 and up
+    "instances": (1, 230),  # each has an address of its own from 127.0.20.0 upwards
     "cores": (1, 64),
     "callers": (1, 200),
     "seconds": (0.2, 600),
@@ -56,7 +56,7 @@
     Kind.LEDGER_DOUBLES: (0, 1),
     Kind.NOTICES_DOUBLED: (0, 1),
     Kind.JUMP: (0, 10_000),
-    Kind.RUDE: (0, 1_000 * RUDE_KINDS),
+    Kind.RUDE: (0, 1_000 * RUDE_CALLER_KINDS),
     Kind.RESETS: (1, 10_000),
     Kind.SLOW_WIRE: (0, 10_000_000),
     Kind.CLOCK_STEP: (-1e8, 1e8),
@@ -83,44 +83,44 @@
     for number, kind in enumerate(message.kinds):
         if kind == pb.NONE:
             raise checked.refuse(f"kinds[{number}]", "expected a kind of fault")
-        _check_among(message, kind, f"kinds[{number}]", checked)
+        _check_peer_fault(message, kind, f"kinds[{number}]", checked)
     for number, fault in enumerate(message.fault):
         _check_fault(message, fault, f"fault[{number}]", checked)
 
 
-def _check_among(message: pb.Scenario, kind: Any, path: str, checked: Checked) -> None:
-    if Kind[pb.FaultKind.Name(kind)] in AMONG and not message.peers:
+def _check_peer_fault(message: pb.Scenario, kind: Any, path: str, checked: Checked) -> None:
+    if Kind[pb.FaultKind.Name(kind)] in PEER_FAULTS and not message.peers:
         raise checked.refuse(path, "expected `peers: true` beside a fault among peers")
 
 
 def _check_fault(message: pb.Scenario, fault: pb.Fault, path: str, checked: Checked) -> None:
     if fault.kind == pb.NONE:
         raise checked.refuse(f"{path}.kind", "expected a kind of fault")
-    _check_among(message, fault.kind, f"{path}.kind", checked)
+    _check_peer_fault(message, fault.kind, f"{path}.kind", checked)
     kind = Kind[pb.FaultKind.Name(fault.kind)]
-    seconds = message.seconds.most if message.HasField("seconds") else USUAL.seconds[1]
+    seconds = message.seconds.most if message.HasField("seconds") else DEFAULTS.seconds[1]
     checked.number(f"{path}.at_ms", fault.at_ms, 0, seconds * 1_000)
     checked.number(f"{path}.lasts_ms", fault.lasts_ms, 0, 600_000)
     checked.number(f"{path}.lag_ms", fault.lag_ms, 0, 600_000)
     checked.number(f"{path}.apart_ms", fault.apart_ms, 0, seconds * 1_000)
     if kind in AMOUNTS:
         checked.number(f"{path}.amount", fault.amount, *AMOUNTS[kind])
-    places = message.instances if kind in AT_INSTANCE else message.callers
-    if kind in AT_INSTANCE and message.HasField("instances") and fault.target >= places.least:
+    places = message.instances if kind in INSTANCE_FAULTS else message.callers
+    if kind in INSTANCE_FAULTS and message.HasField("instances") and fault.target >= places.least:
         raise checked.refuse(f"{path}.target", f"expected an instance below {places.least:g}")
-    if fault.count > 1 and kind not in (*AT_INSTANCE, Kind.CALLER_RESTART):
+    if fault.count > 1 and kind not in (*INSTANCE_FAULTS, Kind.CALLER_RESTART):
         raise checked.refuse(f"{path}.count", f"{kind.value} has one place and can't come at several")
-    least = places.least if message.HasField("instances" if kind in AT_INSTANCE else "callers") else 1
+    least = places.least if message.HasField("instances" if kind in INSTANCE_FAULTS else "callers") else 1
     if fault.count > 1 and fault.target + fault.count > least:
         raise checked.refuse(f"{path}.count", f"expected targets below {least:g}, the fewest there may be")
     last = fault.at_ms + max(0, fault.count - 1) * fault.apart_ms
     checked.number(f"{path}.apart_ms", last, 0, seconds * 1_000, "the last one's time")
-    far = (*FAR, PEERS) if message.peers else FAR
+    far = (*CUT_ENDPOINTS, PEERS_ENDPOINT) if message.peers else CUT_ENDPOINTS
     if (fault.far or kind in (Kind.CUT, Kind.CUT_ONE_WAY)) and fault.far not in far:
         raise checked.refuse(f"{path}.far", f"expected one of {', '.join(far)}")
-    if fault.trigger and fault.trigger not in TRIGGERS:
-        raise checked.refuse(f"{path}.trigger", f"expected one of {', '.join(TRIGGERS)}")
-    if fault.trigger and kind not in AT_INSTANCE:
+    if fault.trigger and fault.trigger not in TRIGGER_EVENTS:
+        raise checked.refuse(f"{path}.trigger", f"expected one of {', '.join(TRIGGER_EVENTS)}")
+    if fault.trigger and kind not in INSTANCE_FAULTS:
         raise checked.refuse(
             f"{path}.trigger", f"{kind.value} is at no instance and can't wait for its events"
         )
@@ -129,7 +129,7 @@
 def ranges_of(message: pb.Scenario) -> Ranges:
     def within(name: str) -> Range:
         if not message.HasField(name):
-            usual: Range = getattr(USUAL, name)
+            usual: Range = getattr(DEFAULTS, name)
             return usual
         given = getattr(message, name)
         return given.least, given.most
@@ -137,9 +137,9 @@
     return Ranges(
         name=message.name,
         **{name: within(name) for name in LIMITS},
-        kinds=tuple(Kind[pb.FaultKind.Name(kind)] for kind in message.kinds) or USUAL.kinds,
+        kinds=tuple(Kind[pb.FaultKind.Name(kind)] for kind in message.kinds) or DEFAULTS.kinds,
         scripted=tuple(each for fault in message.fault for each in faults_of(fault)),
-        quanta=tuple(message.quantum_us) or USUAL.quanta,
+        quanta=tuple(message.quantum_us) or DEFAULTS.quanta,
         ties=Ties(message.ties),
         triggered=message.triggered,
         cold=message.cold,
@@ -150,7 +150,7 @@
 
 
 def faults_of(fault: pb.Fault) -> Iterator[Fault]:
-    """One for each of its targets."""
+    """One fault for each of its targets."""
     for number in range(max(1, fault.count)):
         yield fault_of(fault, number)
 
@@ -170,8 +170,8 @@
 
 
 @cache
-def named(name: str) -> Ranges:
-    """A scenario of the package by its name, or a file by its path. Raises Unusable."""
+def load_scenario(name: str) -> Ranges:
+    """Loads a scenario of this package by name, or a file by path. Raises Unusable."""
     path = Path(name) if "/" in name or name.endswith(".txtpb") else FOLDER / f"{name}.txtpb"
     if not path.exists() and path.parent == FOLDER:
         raise Unusable(f"{name}: expected a scenario's name ({', '.join(names())}) or a file's path")
--- a/limeridge/sim/timeline.py
+++ b/limeridge/sim/timeline.py
@@ -1,7 +1,7 @@
-"""Virtual time: what happens next, and in which order what falls on one tick happens.
+"""Virtual time: the event queue, the clock and the order of events that are due on the same tick.
 
-It owns the queue of events, the clock in whole microseconds and the draw that orders a tick. It must never
-know what an event does, and never read a real clock: the same seed gives the same order on any machine.
+The clock counts whole microseconds; the order within a tick is drawn from the seed. This module doesn't know
+what an event does and never reads a real clock, so the same seed gives the same order on any machine.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from typing import Any
 
 SECOND = 1_000_000
-BEGIN = 100 * SECOND  # so that no time is 0, which some code takes for 'never'
-ORDERS = 1 << 20
+START_TIME = 100 * SECOND  # not 0, because some code uses a time of 0 to mean 'never'
+ORDER_RANGE = 1 << 20
 
 
 class Ties(Enum):
-    """How what falls on one tick is ordered."""
+    """How events on the same tick are ordered."""
 
     DRAWN = 0
     WIRE_FIRST = 1
@@ -26,19 +26,19 @@
 
 
 class Life:
-    """One process from its start to its end: it owns events, may be paused, and its events die with it."""
+    """The lifetime of one process. Its events are held while it is paused and dropped once it has ended."""
 
     __slots__ = ("alive", "born", "held", "ip", "name", "paused", "serial", "soon_at", "soon_order")
 
-    def __init__(self, name: str, ip: str, serial: int = 0, born: int = BEGIN) -> None:
+    def __init__(self, name: str, ip: str, serial: int = 0, born: int = START_TIME) -> None:
         self.name, self.ip, self.serial, self.born = name, ip, serial, born
         self.alive, self.paused = True, False
-        self.held: list[Event] = []  # what came to it during a pause
+        self.held: list[Event] = []  # events that came due during a pause
         self.soon_at, self.soon_order = -1, 0
 
 
 class Event:
-    """A call that is due: `life` is None for what the network itself does, which nothing can pause."""
+    """A scheduled call. `life` is None for events of the network itself, which can't be paused."""
 
     __slots__ = ("args", "call", "dead", "label", "life", "when", "wire")
 
@@ -63,18 +63,18 @@
 
 
 class Timeline:
-    """The queue. `quantum` is the grid in microseconds that all times are rounded up to: the coarser it is,
-    the more often a reply and an expiry fall on the same tick."""
+    """The event queue. All times are rounded up to a multiple of `quantum` microseconds: the coarser the
+    grid, the more often a reply and an expiry fall on the same tick."""
 
-    def __init__(self, chance: random.Random, quantum: int = 1, ties: Ties = Ties.DRAWN) -> None:
-        self.chance, self.quantum, self.ties = chance, quantum, ties
-        self.now = BEGIN
+    def __init__(self, rng: random.Random, quantum: int = 1, ties: Ties = Ties.DRAWN) -> None:
+        self.rng, self.quantum, self.ties = rng, quantum, ties
+        self.now = START_TIME
         self.queue: list[tuple[int, int, int, Event]] = []
         self.serial = 0
         self.steps = 0
-        self.on_tick = 0  # steps since time last moved
+        self.steps_on_tick = 0  # steps since the clock last advanced
 
-    def at(
+    def schedule(
         self,
         when: int,
         life: Life | None,
@@ -83,17 +83,18 @@
         *args: Any,
         wire: bool = False,
     ) -> Event:
-        """What is due at once keeps its process's order, as with a real reactor; all else is drawn."""
-        soon = when <= self.now
-        if soon:
+        """Schedules a call. Calls that a process schedules for now keep their order, as with a real reactor;
+        all other order within a tick is drawn."""
+        immediate = when <= self.now
+        if immediate:
             when = self.now
         elif self.quantum > 1:
             when += -when % self.quantum
         event = Event(when, life, label, wire, call, args)
-        order = int(self.chance.random() * ORDERS)
-        if self.ties is not Ties.DRAWN and not soon:
-            order += ORDERS * (wire is (self.ties is Ties.TIMERS_FIRST))
-        if soon and not wire and life is not None:
+        order = int(self.rng.random() * ORDER_RANGE)
+        if self.ties is not Ties.DRAWN and not immediate:
+            order += ORDER_RANGE * (wire is (self.ties is Ties.TIMERS_FIRST))
+        if immediate and not wire and life is not None:
             if life.soon_at == when:
                 order = max(order, life.soon_order)
             life.soon_at, life.soon_order = when, order
@@ -102,8 +103,7 @@
         return event
 
     def step(self, until: int) -> Event | None:
-        """The next event that is to be carried out by `until`, the clock moved to it; None if there is
-        none."""
+        """Advances the clock to the next event due by `until` and returns it; None if there is none."""
         queue = self.queue
         while queue and queue[0][0] <= until:
             when, _, _, event = heapq.heappop(queue)
@@ -111,31 +111,33 @@
             if event.dead or (life is not None and not life.alive):
                 continue
             if when > self.now:
-                self.now, self.on_tick = when, 0
+                self.now, self.steps_on_tick = when, 0
             if life is not None and life.paused:
                 life.held.append(event)
                 continue
             event.dead = True
             self.steps += 1
-            self.on_tick += 1
+            self.steps_on_tick += 1
             return event
         self.now = max(self.now, until)
         return None
 
     def resume(self, life: Life) -> None:
-        """All that was held falls on one tick now; what the process had put off at once comes first."""
+        """Reschedules all held events on the current tick; the process's own calls keep their order."""
         life.paused = False
         held, life.held = life.held, []
         for event in held:
             if not event.dead:
-                again = self.at(self.now, life, event.label, event.call, *event.args, wire=event.wire)
+                rescheduled = self.schedule(
+                    self.now, life, event.label, event.call, *event.args, wire=event.wire
+                )
                 event.dead = True
                 for holder in event.args:
-                    if isinstance(holder, Held):
-                        holder.event = again
+                    if isinstance(holder, EventHolder):
+                        holder.event = rescheduled
 
 
-class Held:
-    """Whoever keeps an event to cancel it later, and must follow it when a pause moves it."""
+class EventHolder:
+    """Keeps an event to cancel it later; `event` is updated when a pause reschedules it."""
 
     event: Event
