--- a/limeridge/sim/world.py
+++ b/limeridge/sim/world.py
@@ -137,14 +137,14 @@
             plan.cores,
             world.chance(f"kernel {self.number} {self.lives}"),
             world.over.__contains__,
-            boot=boot,
+            boot_s=boot,
             cold=cold,
             memory_kb=plan.memory_kb,
         )
-        self.kernel.misled = lambda ref: self.broke(
+        self.kernel.on_wrong_reply = lambda ref: self.broke(
             Broken("reply", ref, "the kernel took a reply for another call")
         )
-        self.kernel.speed, self.kernel.doubled = self.speed, self.doubled
+        self.kernel.speed, self.kernel.duplicate_share = self.speed, self.doubled
         for port in KERNEL_PORTS:
             self.kernel_reactor.listenTCP(port, self.kernel)
         config = orjson.loads(self.file) if self.whole() else plan.config(self.number, self.moved)
@@ -472,7 +472,7 @@
         self.over.add(ref)
         for machine in self.machines:
             if machine.instance is not None and ref in machine.kernel.runs:
-                machine.kernel.ended_outside(ref)
+                machine.kernel.cancel_finished_txn(ref)
 
     # ---- traffic
 
@@ -655,7 +655,7 @@
         def set_share(share: float) -> None:
             machine.doubled = share
             if machine.instance is not None:
-                machine.kernel.doubled = share
+                machine.kernel.duplicate_share = share
 
         set_share(fault.amount)
         return lambda: set_share(0.0)
--- a/limeridge/standins/ledger.py
+++ b/limeridge/standins/ledger.py
@@ -14,7 +14,7 @@
 from twisted.internet.protocol import Protocol as Wire
 from twisted.python.failure import Failure
 
-from limeridge.standins.kernel import reply_of
+from limeridge.standins.kernel import ledger_reply
 
 LINGER = 0.1  # seconds that it goes on with a call whose caller is gone
 
@@ -115,4 +115,4 @@
         if self.chance.random() < self.fails:
             line.reply(500 if self.chance.random() < 0.7 else 504, b"")
         else:
-            line.reply(200, reply_of(body))
+            line.reply(200, ledger_reply(body))
--- a/limeridge/trial/cost.py
+++ b/limeridge/trial/cost.py
@@ -124,7 +124,7 @@
         """Notes that the caller of a request is gone, and ends the request's run."""
         self.gone.add(ref)
         if self.kernel is not None:
-            self.kernel.ended_outside(ref)
+            self.kernel.cancel_finished_txn(ref)
 
     async def measure(self, pair: int, peers: bool) -> dict[str, Any]:
         """One life of the measured instance, the same traffic in both runs of a pair."""
--- a/limeridge/trial/day.py
+++ b/limeridge/trial/day.py
@@ -87,7 +87,7 @@
     def over(self, ref: str) -> None:
         """Notes that the caller of a request is gone, and ends the request's run."""
         self.gone.add(ref)
-        self.kernel.ended_outside(ref)
+        self.kernel.cancel_finished_txn(ref)
 
     def start(self, folder: str) -> None:
         """Starts the stand-ins, then the instance with a configuration that names them."""
@@ -175,7 +175,7 @@
             "states": {state: states.count(state) for state in sorted(set(states))},
             "checks_good": self.stubs[0].checks[1],
             "reports_strange": self.node_list.strange,
-            "lines_broken": [line.decode(errors="replace") for line in self.kernel.broken],
+            "lines_broken": [line.decode(errors="replace") for line in self.kernel.malformed_lines],
             "instance_cpu_s": round(used.ru_utime + used.ru_stime, 3),
             "instance_peak_mb": round(used.ru_maxrss / 1_024, 1),
             "exceptions": self.child.log.count(b'"trace"'),
--- a/limeridge/trial/rig.py
+++ b/limeridge/trial/rig.py
@@ -199,7 +199,7 @@
         self.gone.add(ref)
         for kernel in self.kernels:
             if ref in kernel.runs:
-                kernel.ended_outside(ref)
+                kernel.cancel_finished_txn(ref)
 
     def in_hand(self, count: int) -> None:
         """Records the records service's count of calls, where it changed."""
--- a/limeridge/trial/soak.py
+++ b/limeridge/trial/soak.py
@@ -160,13 +160,13 @@
     def begin_life(self, plan: InstancePlan, number: int) -> None:
         """Starts a process with a kernel of its own: a successor's is cold."""
         kernel = Kernel(self.reactor, CORES, self.chance, self.gone.__contains__, cold=number > 0)
-        begin = kernel.begin
+        start_run = kernel.start_run
 
         def began(handle: str, doc: bytes) -> None:
             self.record.began(plan.number, number, handle)
-            begin(handle, doc)
+            start_run(handle, doc)
 
-        kernel.begin = began  # type: ignore[method-assign]
+        kernel.start_run = began  # type: ignore[method-assign]
         port = self.reactor.listenTCP(0, kernel, interface=self.host(0)).getHost().port
         config = self.configs[plan.number]
         config["kernel"] = f"{self.host(0)}:{port}"
@@ -241,7 +241,7 @@
     def request_over(self, ref: str) -> None:
         self.gone.add(ref)
         for life in self.lives.values():
-            life.kernel.ended_outside(ref)
+            life.kernel.cancel_finished_txn(ref)
 
     def crowd(self, place: Place, plan: InstancePlan) -> None:
         """One client of the crowd connects, and anew once it is answered, until nobody listens."""
