--- a/limeridge/standins/kernel.py
+++ b/limeridge/standins/kernel.py
@@ -1,8 +1,8 @@
-"""A stand-in for the kernel: cores shared by its runs, notices kept for a link that comes back.
+"""A fake kernel: simulates runs that share the cores, and replays notices when a link reconnects.
 
-It owns the runs, their work and the notices with their numbers. A run's script stands in its body
-(`work=12000 calls=1 op=20000`), so that the same body costs the same anywhere. It must never look into an
-instance.
+It owns the runs, their remaining work and the numbered notices. The request body describes the run
+(`work=12000 calls=1 op=20000`), so the same body costs the same on every kernel. It must not read the state
+of an instance.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from twisted.internet.protocol import Protocol as Wire
 from twisted.python.failure import Failure
 
-MAX_KEPT_NOTICES = 4_000  # notices that are kept
-SPLIT = 0.5  # of a run's work that comes before its last call
+MAX_KEPT_NOTICES = 4_000  # for replay after a reconnect; older ones are dropped
+SPLIT = 0.5  # share of a run's work that comes before its last call
 
 
 class Run:
-    """One run: `left` is work on one core, in microseconds, until its next stop."""
+    """One run. `work_left` is the work until its next call or its end, in microseconds on one core."""
 
     __slots__ = (
         "call_number",
@@ -42,13 +42,13 @@
         self.calls, self.op = int(script.get(b"calls", b"0")), int(script.get(b"op", b"0"))
         self.work_per_part = int(script.get(b"work", b"1000")) / (self.calls + 1)
         self.work_left = self.work_per_part
-        self.state = "runs"  # waits, over
-        self.call_number = 0  # of the call that it waits for
-        self.request_cursor = 0  # the cursor of its notice
+        self.state = "runs"  # or "waits" (for a call), "over"
+        self.call_number = 0  # of the current call, from 1
+        self.request_cursor = 0  # cursor of the IOREQ notice of the current call
 
 
 def run_result(handle: str, doc: bytes) -> str:
-    """What a run of this txn gives: no other txn's run gives the same."""
+    """The result of a run, unique to its txn."""
     return base64.b64encode(b"done " + handle.encode() + b" " + doc[:40]).decode()
 
 
@@ -57,7 +57,7 @@
 
 
 def ledger_reply(body: bytes) -> bytes:
-    """What the ledger replies to a call with this body."""
+    """The ledger's reply to a call with this body."""
     return b"reply to " + body
 
 
@@ -89,7 +89,10 @@
 
 
 class Kernel(Factory):
-    """`over` tells whether a txn was answered or given up; `boot` is how many seconds it takes to come up."""
+    """`is_finished` reports whether a txn was answered or abandoned; `boot_s` is the boot time in seconds.
+
+    `cold` kernels start at a fraction of their speed and reach full speed after `ramp_s`.
+    """
 
     noisy = False
 
@@ -105,17 +108,16 @@
     ) -> None:
         self.reactor, self.cores, self.chance, self.is_finished = reactor, cores, chance, is_finished
         self.booted_at, self.cold, self.memory_kb = reactor.seconds() + boot_s, cold, memory_kb
-        self.speed = 1.0  # of a core, under a fault
+        self.speed = 1.0  # of a core; lowered by a fault
         self.ramp_s, self.cold_speed = 10.0, 0.25
-        self.duplicate_share = 0.0  # share of notices sent twice
+        self.duplicate_share = 0.0  # of notices, sent twice
         self.link: Link | None = None
         self.runs: dict[str, Run] = {}
         self.notices: list[bytes] = []
         self.dropped_notices = 0
-        self.malformed_lines: list[bytes] = []  # lines that are no commands
-        self.on_wrong_reply: Callable[[str], None] = (
-            lambda handle: None
-        )  # hears of a reply to another call than the run's
+        self.malformed_lines: list[bytes] = []  # input that was not a valid command
+        # Called with the handle of a run that received the reply to a different call.
+        self.on_wrong_reply: Callable[[str], None] = lambda handle: None
         self.running: dict[str, Run] = {}
         self.last_advanced_at = reactor.seconds()
         self.timer: Any = None
@@ -186,9 +188,9 @@
         if self.link is not link:
             return
         link.is_open = True
-        ago = max(0.0, self.reactor.seconds() - self.booted_at) * 1_000
+        up_ms = max(0.0, self.reactor.seconds() - self.booted_at) * 1_000
         self.send_event(
-            event="BOOTED", fate="cold" if self.cold else "warm", lasted=ago if self.cold else 60_000.0
+            event="BOOTED", fate="cold" if self.cold else "warm", lasted=up_ms if self.cold else 60_000.0
         )
         for line in self.notices[max(0, cursor - self.dropped_notices) :]:
             self.send(line)
@@ -211,7 +213,7 @@
         self.schedule_next_stop()
 
     def speed_per_run(self) -> float:
-        """Work a microsecond that each run gets."""
+        """Work done per microsecond for each run."""
         speed = self.speed
         if self.cold:
             speed *= min(
@@ -222,7 +224,8 @@
         return speed * min(1.0, self.cores / max(1, len(self.running)))
 
     def advance_work(self) -> None:
-        """Work done since the last change; called before each."""
+        """Subtracts the work done since the last call. Must be called before each change of the speed or of
+        `running`."""
         now = self.reactor.seconds()
         done = (now - self.last_advanced_at) * 1e6 * self.speed_per_run()
         self.last_advanced_at = now
@@ -234,9 +237,9 @@
             self.timer.cancel()
         self.timer = None
         if self.running:
-            least = min(run.work_left for run in self.running.values())
+            shortest = min(run.work_left for run in self.running.values())
             self.timer = self.reactor.callLater(
-                max(0.000_01, least / self.speed_per_run() / 1e6), self.stop_due_runs
+                max(0.000_01, shortest / self.speed_per_run() / 1e6), self.stop_due_runs
             )
 
     def stop_due_runs(self) -> None:
@@ -252,7 +255,7 @@
         self.schedule_next_stop()
 
     def finish_part(self, run: Run) -> None:
-        """At the end of a part: a call, or the end."""
+        """Makes the next call, or ends the run after its last part."""
         if run.call_number < run.calls:
             if self.is_finished(run.handle):
                 self.end_run(run, "halted")
@@ -276,7 +279,7 @@
         )
 
     def cancel_finished_txn(self, handle: str) -> None:
-        """Its txn was answered or given up: a run that waits for a call ends there."""
+        """Halts the run of a txn that was answered or abandoned, if it is waiting for a call."""
         run = self.runs.get(handle)
         if run is not None and run.state == "waits":
             self.end_run(run, "halted")
