--- a/limeridge/sim/world.py
+++ b/limeridge/sim/world.py
@@ -420,7 +420,7 @@
             self.chance(f"ledger {self.timeline.now}"),
             slots=max(4, int(self.plan.calls_out * self.plan.instances)),
         )
-        self.ledger.told = self.in_hand
+        self.ledger.on_call_count = self.in_hand
         for name, value in self.ledger_trouble.items():
             setattr(self.ledger, name, value)
         for port in (8900, 8901):
@@ -669,22 +669,22 @@
         return lambda: put(usual)
 
     def _ledger_slow(self, fault: Fault) -> Any:
-        return self._ledger("slow", fault.amount, 1.0)
+        return self._ledger("slowdown", fault.amount, 1.0)
 
     def _ledger_full(self, fault: Fault) -> Any:
-        return self._ledger("refuses", fault.amount, 0.0)
+        return self._ledger("refused_share", fault.amount, 0.0)
 
     def _ledger_fails(self, fault: Fault) -> Any:
-        return self._ledger("fails", fault.amount, 0.0)
+        return self._ledger("failed_share", fault.amount, 0.0)
 
     def _ledger_loses(self, fault: Fault) -> Any:
-        return self._ledger("loses", fault.amount, 0.0)
+        return self._ledger("lost_share", fault.amount, 0.0)
 
     def _ledger_spoils(self, fault: Fault) -> Any:
-        return self._ledger("spoils", fault.amount, 0.0)
+        return self._ledger("corrupted_share", fault.amount, 0.0)
 
     def _ledger_doubles(self, fault: Fault) -> Any:
-        return self._ledger("doubles", fault.amount, 0.0)
+        return self._ledger("duplicated_share", fault.amount, 0.0)
 
     def _ledger_down(self, fault: Fault) -> Any:
         if not self.ledger_reactor.life.alive:
--- a/limeridge/standins/ledger.py
+++ b/limeridge/standins/ledger.py
@@ -16,10 +16,10 @@
 
 from limeridge.standins.kernel import ledger_reply
 
-LINGER = 0.1  # seconds that it goes on with a call whose caller is gone
+ABANDONED_CALL_S = 0.1  # seconds that it goes on with a call whose caller is gone
 
 
-class Line(Wire):
+class Connection(Wire):
     transport: Any
 
     def __init__(self, ledger: Ledger) -> None:
@@ -27,53 +27,54 @@
 
     def dataReceived(self, data: bytes) -> None:
         self.data += data
-        head, found, rest = self.data.partition(b"\r\n\r\n")
+        header, found, rest = self.data.partition(b"\r\n\r\n")
         if self.busy or not found:
             return
-        fields = dict(line.split(b": ", 1) for line in head.split(b"\r\n")[1:])
+        fields = dict(line.split(b": ", 1) for line in header.split(b"\r\n")[1:])
         length = int(fields[b"Content-Length"])
         if len(rest) < length:
             return
         self.busy = True
-        self.ledger.take(self, rest[:length])
+        self.ledger.handle_call(self, rest[:length])
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         ledger = self.ledger
-        if self in ledger.lines:
-            del ledger.lines[self]
-            ledger.left += 1
-            ledger.reactor.callLater(LINGER, ledger.let_go)
+        if self in ledger.active:
+            del ledger.active[self]
+            ledger.abandoned_calls += 1
+            ledger.reactor.callLater(ABANDONED_CALL_S, ledger.end_abandoned_call)
 
     def reply(self, status: int, body: bytes, not_begun: bool = False) -> None:
         ledger = self.ledger
-        words = {
+        reasons = {
             200: "OK",
             409: "Conflict",
             500: "Internal Server Error",
             503: "Service Unavailable",
             504: "Gateway Timeout",
         }
-        mark = "Op-Not-Begun: 1\r\n" if not_begun else ""
-        text = (
-            f"HTTP/1.1 {status} {words[status]}\r\n{mark}Content-Length: {len(body)}\r\n\r\n".encode() + body
+        extra_header = "Op-Not-Begun: 1\r\n" if not_begun else ""
+        response = (
+            f"HTTP/1.1 {status} {reasons[status]}\r\n{extra_header}Content-Length: {len(body)}\r\n\r\n".encode()
+            + body
         )
         draw = ledger.chance.random()
-        if draw < ledger.spoils:
+        if draw < ledger.corrupted_share:
             kind = int(ledger.chance.random() * 4)
-            text = (
+            response = (
                 b"\x16\x03\x01 noise",
-                text[:-1],
+                response[:-1],
                 b"HTTP/1.1 2x0 ??\r\n\r\n",
-                text.replace(b"Content-Length", b"Content-Longth"),
+                response.replace(b"Content-Length", b"Content-Longth"),
             )[kind]
-            self.transport.write(text)
+            self.transport.write(response)
             self.transport.loseConnection()
             return
-        self.transport.write(text)
-        if ledger.chance.random() < ledger.doubles:
-            self.transport.write(text)
+        self.transport.write(response)
+        if ledger.chance.random() < ledger.duplicated_share:
+            self.transport.write(response)
 
 
 class Ledger(Factory):
@@ -84,35 +85,36 @@
 
     def __init__(self, reactor: Any, chance: random.Random, slots: int = 64) -> None:
         self.reactor, self.chance, self.slots = reactor, chance, slots
-        self.slow = 1.0  # times as long
-        self.refuses = self.fails = self.loses = self.spoils = self.doubles = 0.0  # shares of calls
-        self.lines: dict[Line, None] = {}
-        self.left = 0  # of calls whose callers have gone
-        self.told: Callable[[int], None] = lambda _: None
-
-    def let_go(self) -> None:
-        self.left -= 1
-
-    def buildProtocol(self, addr: object) -> Line:
-        return Line(self)
-
-    def take(self, line: Line, body: bytes) -> None:
-        chance = self.chance.random()
-        if chance < self.refuses:
-            line.reply(503, b"", not_begun=True)
-        elif self.chance.random() < self.loses:
+        self.slowdown = 1.0  # times as long
+        self.refused_share = self.failed_share = self.lost_share = 0.0  # of calls
+        self.corrupted_share = self.duplicated_share = 0.0  # of responses
+        self.active: dict[Connection, None] = {}
+        self.abandoned_calls = 0  # of calls whose callers have gone
+        self.on_call_count: Callable[[int], None] = lambda _: None
+
+    def end_abandoned_call(self) -> None:
+        self.abandoned_calls -= 1
+
+    def buildProtocol(self, addr: object) -> Connection:
+        return Connection(self)
+
+    def handle_call(self, connection: Connection, body: bytes) -> None:
+        draw = self.chance.random()
+        if draw < self.refused_share:
+            connection.reply(503, b"", not_begun=True)
+        elif self.chance.random() < self.lost_share:
             return
         else:
-            self.lines[line] = None
-            self.told(len(self.lines) + self.left)
+            self.active[connection] = None
+            self.on_call_count(len(self.active) + self.abandoned_calls)
             script = dict(part.partition(b"=")[::2] for part in body.split())
-            crowd = max(1.0, len(self.lines) / self.slots)
-            took = int(script[b"op"]) / 1e6 * self.slow * crowd * (0.5 + self.chance.random())
-            line.timer = self.reactor.callLater(took, self.done, line, body)
-
-    def done(self, line: Line, body: bytes) -> None:
-        self.lines.pop(line, None)
-        if self.chance.random() < self.fails:
-            line.reply(500 if self.chance.random() < 0.7 else 504, b"")
+            load_factor = max(1.0, len(self.active) / self.slots)
+            duration_s = int(script[b"op"]) / 1e6 * self.slowdown * load_factor * (0.5 + self.chance.random())
+            connection.timer = self.reactor.callLater(duration_s, self.complete_call, connection, body)
+
+    def complete_call(self, connection: Connection, body: bytes) -> None:
+        self.active.pop(connection, None)
+        if self.chance.random() < self.failed_share:
+            connection.reply(500 if self.chance.random() < 0.7 else 504, b"")
         else:
-            line.reply(200, ledger_reply(body))
+            connection.reply(200, ledger_reply(body))
--- a/limeridge/trial/rig.py
+++ b/limeridge/trial/rig.py
@@ -34,7 +34,7 @@
 from limeridge.sim.plan import Ranges, draw
 from limeridge.standins.callers import Habit, Stub, Want
 from limeridge.standins.kernel import Kernel
-from limeridge.standins.ledger import LINGER, Ledger
+from limeridge.standins.ledger import ABANDONED_CALL_S, Ledger
 from limeridge.standins.nodelist import NodeList
 from limeridge.trial import judge, scenario
 from limeridge.trial.faults import Faults
@@ -152,7 +152,7 @@
         for place, number in enumerate(self.doubled()):
             who[self.host(101, trial.instances + place)] = number
         self.ledger = Ledger(reactor, self.chance, max(8, trial.terms.limit))
-        self.ledger.told = self.in_hand
+        self.ledger.on_call_count = self.in_hand
         reactor.listenTCP(LEDGER_PORT, self.ledger, interface=self.host(104, 0))
         self.list = NodeList(reactor, late=0.2)
         self.list_port = reactor.listenUDP(0, self.list, interface=self.host(104, 1))
@@ -223,7 +223,11 @@
             "roster": f"{self.host(104, 1)}:{self.list_at}",
             "seed": f"{trial.seed * 1_000 + place:x}",
         }
-        config["settings"]["familyInfo"] |= {"cpus": 2, "linger": int(LINGER * 1e6), "justStarted": False}
+        config["settings"]["familyInfo"] |= {
+            "cpus": 2,
+            "linger": int(ABANDONED_CALL_S * 1e6),
+            "justStarted": False,
+        }
         config["settings"]["groupSize"] = trial.instances
         path = self.folder / f"{place}.json"
         path.write_bytes(orjson.dumps(config))
@@ -331,8 +335,8 @@
             self.list_port.stopListening()
             later(lasts, self.list_again)
         elif act.kind is Kind.LEDGER_SLOW:
-            self.ledger.slow = act.amount
-            later(lasts, lambda: setattr(self.ledger, "slow", 1.0))
+            self.ledger.slowdown = act.amount
+            later(lasts, lambda: setattr(self.ledger, "slowdown", 1.0))
         else:
             heal = self.faults.begin(act)
             if heal is not None:
