--- a/limeridge/standins/ledger.py
+++ b/limeridge/standins/ledger.py
@@ -1,7 +1,7 @@
-"""A stand-in for the ledger: HTTP/1.1 calls, each taking as long as its body says, and the troubles of one.
+"""A fake ledger: an HTTP/1.1 server with injectable faults. The body of a call states how long it takes.
 
-It owns its slots, its scripts of trouble, and the count of calls in its hands. It must never know whose call
-is whose beyond what the call says.
+It owns its slots, the fault rates and the count of calls in progress. It must not use any knowledge of a
+caller beyond the contents of the call.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 from limeridge.standins.kernel import ledger_reply
 
-ABANDONED_CALL_S = 0.1  # seconds that it goes on with a call whose caller is gone
+ABANDONED_CALL_S = 0.1  # seconds for which a call still counts after its caller has disconnected
 
 
 class Connection(Wire):
@@ -57,7 +57,8 @@
         }
         extra_header = "Op-Not-Begun: 1\r\n" if not_begun else ""
         response = (
-            f"HTTP/1.1 {status} {reasons[status]}\r\n{extra_header}Content-Length: {len(body)}\r\n\r\n".encode()
+            f"HTTP/1.1 {status} {reasons[status]}\r\n"
+            f"{extra_header}Content-Length: {len(body)}\r\n\r\n".encode()
             + body
         )
         draw = ledger.chance.random()
@@ -78,18 +79,21 @@
 
 
 class Ledger(Factory):
-    """`slots` calls at once at full speed; more of them share it. `told` hears at each call how many are in
-    its hands."""
+    """Serves up to `slots` concurrent calls at full speed; beyond that, calls slow down in proportion.
+
+    `on_call_count` is called at the start of each call with the number of calls in progress, abandoned ones
+    included.
+    """
 
     noisy = False
 
     def __init__(self, reactor: Any, chance: random.Random, slots: int = 64) -> None:
         self.reactor, self.chance, self.slots = reactor, chance, slots
-        self.slowdown = 1.0  # times as long
+        self.slowdown = 1.0  # factor on the duration of each call
         self.refused_share = self.failed_share = self.lost_share = 0.0  # of calls
         self.corrupted_share = self.duplicated_share = 0.0  # of responses
-        self.active: dict[Connection, None] = {}
-        self.abandoned_calls = 0  # of calls whose callers have gone
+        self.active: dict[Connection, None] = {}  # connections with a call in progress
+        self.abandoned_calls = 0  # calls in progress whose callers have disconnected
         self.on_call_count: Callable[[int], None] = lambda _: None
 
     def end_abandoned_call(self) -> None:
