--- a/limeridge/scale/below.py
+++ b/limeridge/scale/below.py
@@ -80,7 +80,7 @@
         kernel=listen(kernel()),
         direct_kernel=listen(kernel()),
         ledger=listen(Ledger(reactor, random.Random(2), slots=LEDGER_SLOTS)),
-        node_list=reactor.listenUDP(0, NodeList(reactor, late=0.0), interface=LOOPBACK).getHost().port,
+        node_list=reactor.listenUDP(0, NodeList(reactor, delay_s=0.0), interface=LOOPBACK).getHost().port,
     )
     print(msgspec.json.encode(ports).decode(), flush=True)
     threading.Thread(target=wait_for_end, daemon=True).start()
--- a/limeridge/sim/world.py
+++ b/limeridge/sim/world.py
@@ -454,7 +454,7 @@
             number,
             habit,
             self.chance(f"caller {number} {self.timeline.now}"),
-            lambda: self.node_list.listed() or names,
+            lambda: self.node_list.visible_names() or names,
             self.where,
             self.stamp,
             self.ended,
@@ -930,7 +930,7 @@
         cases: list[tuple[Machine, Any]] = []
         for number, machine in enumerate([*self.machines, *self.machines]):
             ask = Ask(0, 0, 0, -1, "", 2.0, self.plan.products[0].expiry // MS, 2_000, 1, 5_000)
-            probe.listed = lambda name=machine.name: (name,)  # type: ignore[misc]
+            probe.visible_names = lambda name=machine.name: (name,)  # type: ignore[misc]
             cases.append((machine, probe.want(self.want(ask, 100_000 + number))))
             cases[-1][1].maybe_ran = machine.name  # its later tries go to the same instance
         self.wait(PROBE_WAIT, lambda: not any(case.state == "open" for _, case in cases))
@@ -989,7 +989,7 @@
 
     def missing(self) -> list[str]:
         """Instances that the node list does not have."""
-        return sorted({machine.name for machine in self.machines} - set(self.node_list.current()))
+        return sorted({machine.name for machine in self.machines} - set(self.node_list.current_names()))
 
     def wait(self, most: int, done: Callable[[], bool]) -> bool:
         """Goes on until `done`, at most for that long; a broken rule counts as done."""
--- a/limeridge/standins/callers.py
+++ b/limeridge/standins/callers.py
@@ -149,13 +149,13 @@
         number: int,
         habit: Habit,
         chance: random.Random,
-        listed: Callable[[], Any],
+        visible_names: Callable[[], Any],
         where: Callable[[str], tuple[str, int]],
         unix: Callable[[str], float],
         over: Callable[[str], None],
     ) -> None:
         self.reactor, self.number, self.habit, self.chance = reactor, number, habit, chance
-        self.listed, self.where, self.unix, self.over = listed, where, unix, over
+        self.visible_names, self.where, self.unix, self.over = visible_names, where, unix, over
         self.lines: dict[str, list[Line]] = {}
         self.cases: list[Case] = []
         self.away: dict[str, float] = {}  # until when a node is left alone
@@ -183,7 +183,7 @@
         now = self.reactor.seconds()
         if case.maybe_ran:
             return case.maybe_ran  # one that may have run goes there again and nowhere else
-        names = [name for name in self.listed() if name not in case.avoid]
+        names = [name for name in self.visible_names() if name not in case.avoid]
         calm = [name for name in names if not self.habit.heeds or self.away.get(name, 0.0) <= now]
         calm = [name for name in calm if self.healthy.get(name, True)] or calm or names
         if not calm:
@@ -368,7 +368,7 @@
     # ---- health checks
 
     def check(self) -> None:
-        for name in self.listed():
+        for name in self.visible_names():
             Check(self, name, deep=self.chance.random() < 0.3)
         self.reactor.callLater(CHECK, self.check)
 
--- a/limeridge/standins/nodelist.py
+++ b/limeridge/standins/nodelist.py
@@ -10,55 +10,57 @@
 
 from twisted.internet.protocol import DatagramProtocol
 
-LAPSE = 3.0  # seconds after its last report that an entry stays
-PLACE_LAPSE = 180.0  # and a member's place after it said so
-PART = 40  # places in one datagram
+REPORT_TTL_S = 3.0  # seconds after its last report that an entry stays
+MEMBER_TTL_S = 180.0  # and a member's place after it said so
+MEMBERS_PER_PART = 40  # places in one datagram
 
 
 class NodeList(DatagramProtocol):
     noisy = False
 
-    def __init__(self, reactor: Any, late: float = 1.0) -> None:
-        self.reactor, self.late = reactor, late
+    def __init__(self, reactor: Any, delay_s: float = 1.0) -> None:
+        self.reactor, self.delay_s = reactor, delay_s
         self.reports: dict[str, float] = {}
-        self.strange = 0
-        self.asked = 0
-        self.places: dict[str, tuple[str, float]] = {}  # where members said that they are, and when
-        self.seen: list[tuple[float, tuple[str, ...]]] = []
+        self.malformed_reports = 0
+        self.list_requests = 0
+        self.members: dict[str, tuple[str, float]] = {}  # where members said that they are, and when
+        self.history: list[tuple[float, tuple[str, ...]]] = []
 
     def datagramReceived(self, data: bytes, addr: Any) -> None:
-        words = data.decode("ascii", "replace").split(" ")
-        if words[0] == "AT" and len(words) == 3:
-            self.places[words[1]] = words[2], self.reactor.seconds()
+        fields = data.decode("ascii", "replace").split(" ")
+        if fields[0] == "AT" and len(fields) == 3:
+            self.members[fields[1]] = fields[2], self.reactor.seconds()
             return
-        if words[0] == "LIST" and len(words) == 2:
-            self.asked += 1
-            self.tell(words[1], addr)
+        if fields[0] == "LIST" and len(fields) == 2:
+            self.list_requests += 1
+            self.send_members(fields[1], addr)
             return
-        if len(words) != 3 or words[0] != "HERE" or words[2] not in ("on", "off"):
-            self.strange += 1
+        if len(fields) != 3 or fields[0] != "HERE" or fields[2] not in ("on", "off"):
+            self.malformed_reports += 1
             return
-        self.reports[words[1]] = self.reactor.seconds()
+        self.reports[fields[1]] = self.reactor.seconds()
 
-    def tell(self, number: str, to: Any) -> None:
+    def send_members(self, number: str, to: Any) -> None:
         """In parts that fit a datagram each; entries of members stay for as long as a reader may take."""
         now, transport = self.reactor.seconds(), cast(Any, self.transport)
-        places = sorted(place for place, at in self.places.values() if now - at < PLACE_LAPSE)
-        parts = [places[start : start + PART] for start in range(0, len(places), PART)] or [[]]
-        for part, some in enumerate(parts):
+        members = sorted(address for address, at in self.members.values() if now - at < MEMBER_TTL_S)
+        parts = [
+            members[start : start + MEMBERS_PER_PART] for start in range(0, len(members), MEMBERS_PER_PART)
+        ] or [[]]
+        for part, chunk in enumerate(parts):
             if transport is not None:
-                transport.write(" ".join(["LISTED", number, str(part), str(len(parts)), *some]).encode(), to)
+                transport.write(" ".join(["LISTED", number, str(part), str(len(parts)), *chunk]).encode(), to)
 
-    def current(self) -> tuple[str, ...]:
+    def current_names(self) -> tuple[str, ...]:
         now = self.reactor.seconds()
-        return tuple(sorted(name for name, at in self.reports.items() if now - at < LAPSE))
+        return tuple(sorted(name for name, at in self.reports.items() if now - at < REPORT_TTL_S))
 
-    def listed(self) -> tuple[str, ...]:
+    def visible_names(self) -> tuple[str, ...]:
         """As callers see it: `late` seconds old."""
         now = self.reactor.seconds()
-        current = self.current()
-        if not self.seen or self.seen[-1][1] != current:
-            self.seen.append((now, current))
-        while len(self.seen) > 1 and self.seen[1][0] <= now - self.late:
-            del self.seen[0]
-        return self.seen[0][1]
+        current_names = self.current_names()
+        if not self.history or self.history[-1][1] != current_names:
+            self.history.append((now, current_names))
+        while len(self.history) > 1 and self.history[1][0] <= now - self.delay_s:
+            del self.history[0]
+        return self.history[0][1]
--- a/limeridge/trial/cost.py
+++ b/limeridge/trial/cost.py
@@ -115,7 +115,7 @@
     def found(self) -> None:
         """Starts the stand-ins that instances need: records service and service discovery."""
         self.ledger = Ledger(self.reactor, random.Random(2), slots=1_000)
-        self.node_list = NodeList(self.reactor, late=0.0)
+        self.node_list = NodeList(self.reactor, delay_s=0.0)
         listen = self.reactor.listenTCP
         self.ledger_port = listen(0, self.ledger, interface="127.0.0.1").getHost().port
         self.listed = self.reactor.listenUDP(0, self.node_list, interface="127.0.0.1").getHost().port
--- a/limeridge/trial/day.py
+++ b/limeridge/trial/day.py
@@ -69,14 +69,14 @@
             self.port = free.getsockname()[1]
         self.kernel = Kernel(self.reactor, 2, self.chance, self.gone.__contains__)
         self.ledger = Ledger(self.reactor, self.chance)
-        self.node_list = NodeList(self.reactor, late=0.0)
+        self.node_list = NodeList(self.reactor, delay_s=0.0)
         self.stubs = [
             Stub(
                 self.reactor,
                 number,
                 Habit(),
                 random.Random(seed + number),
-                self.node_list.listed,
+                self.node_list.visible_names,
                 lambda _: (HERE, self.port),
                 lambda _: time.time(),
                 self.over,
@@ -119,7 +119,7 @@
     def await_ready(self) -> None:
         """Begins the traffic once service discovery lists the instance; kills it after READY_MOST
         seconds."""
-        if self.node_list.listed():
+        if self.node_list.visible_names():
             self.report["ready_s"] = round(self.reactor.seconds() - self.begun, 3)
             self.traffic()
         elif self.reactor.seconds() - self.begun > READY_MOST:
@@ -174,7 +174,7 @@
             "txns": len(states),
             "states": {state: states.count(state) for state in sorted(set(states))},
             "checks_good": self.stubs[0].checks[1],
-            "reports_strange": self.node_list.strange,
+            "reports_strange": self.node_list.malformed_reports,
             "lines_broken": [line.decode(errors="replace") for line in self.kernel.malformed_lines],
             "instance_cpu_s": round(used.ru_utime + used.ru_stime, 3),
             "instance_peak_mb": round(used.ru_maxrss / 1_024, 1),
--- a/limeridge/trial/rig.py
+++ b/limeridge/trial/rig.py
@@ -154,7 +154,7 @@
         self.ledger = Ledger(reactor, self.chance, max(8, trial.terms.limit))
         self.ledger.on_call_count = self.in_hand
         reactor.listenTCP(LEDGER_PORT, self.ledger, interface=self.host(104, 0))
-        self.list = NodeList(reactor, late=0.2)
+        self.list = NodeList(reactor, delay_s=0.2)
         self.list_port = reactor.listenUDP(0, self.list, interface=self.host(104, 1))
         self.list_at = self.list_port.getHost().port
         for number in range(trial.instances + len(self.doubled())):
@@ -182,7 +182,7 @@
                 number,
                 Habit(tries=3, heeds=True),
                 random.Random(f"{trial.seed} {number}"),
-                self.list.listed,
+                self.list.visible_names,
                 lambda name: (self.host(101, int(name[1:])), PORT),
                 lambda _: time.time(),
                 self.over,
--- a/limeridge/trial/soak.py
+++ b/limeridge/trial/soak.py
@@ -124,7 +124,7 @@
         self.record = Record()
         self.gone: set[str] = set()
         self.ledger = Ledger(self.reactor, self.chance)
-        self.node_list = NodeList(self.reactor, late=0.0)
+        self.node_list = NodeList(self.reactor, delay_s=0.0)
         self.lives: dict[int, Life] = {}
         self.all_lives: list[Life] = []
         self.configs: dict[int, dict[str, Any]] = {}
@@ -185,10 +185,10 @@
 
     def await_ready(self, until: float) -> None:
         names = {f"n{each.number}" for each in self.plan.instances}
-        if names <= set(self.node_list.listed()):
+        if names <= set(self.node_list.visible_names()):
             self.traffic()
         elif self.reactor.seconds() > until:
-            self.record.fault("not ready", f"{sorted(names)}, listed are {self.node_list.listed()}")
+            self.record.fault("not ready", f"{sorted(names)}, listed are {self.node_list.visible_names()}")
             self.finish()
         else:
             self.reactor.callLater(LOOK, self.await_ready, until)
