--- a/limeridge/standins/nodelist.py
+++ b/limeridge/standins/nodelist.py
@@ -1,7 +1,7 @@
-"""A stand-in for the node list: who reported lately, as callers get to see it, late; and, as it can be read
-in some installations, where members say that they are.
+"""A fake node list: collects the instances' reports and serves them to callers with a delay. It also answers
+queries for member addresses, which some installations support.
 
-It owns the entries and their ageing. It must never tell anything but entries that are listed.
+It owns the entries and their expiry. It must not return anything but listed entries.
 """
 
 from __future__ import annotations
@@ -10,9 +10,9 @@
 
 from twisted.internet.protocol import DatagramProtocol
 
-REPORT_TTL_S = 3.0  # seconds after its last report that an entry stays
-MEMBER_TTL_S = 180.0  # and a member's place after it said so
-MEMBERS_PER_PART = 40  # places in one datagram
+REPORT_TTL_S = 3.0  # seconds until an entry expires after its last report
+MEMBER_TTL_S = 180.0  # seconds until an announced member address expires; covers the slowest reader
+MEMBERS_PER_PART = 40  # addresses in one datagram
 
 
 class NodeList(DatagramProtocol):
@@ -23,8 +23,8 @@
         self.reports: dict[str, float] = {}
         self.malformed_reports = 0
         self.list_requests = 0
-        self.members: dict[str, tuple[str, float]] = {}  # where members said that they are, and when
-        self.history: list[tuple[float, tuple[str, ...]]] = []
+        self.members: dict[str, tuple[str, float]] = {}  # address and time of announcement, by member name
+        self.history: list[tuple[float, tuple[str, ...]]] = []  # changes of the listed names, oldest first
 
     def datagramReceived(self, data: bytes, addr: Any) -> None:
         fields = data.decode("ascii", "replace").split(" ")
@@ -41,7 +41,7 @@
         self.reports[fields[1]] = self.reactor.seconds()
 
     def send_members(self, number: str, to: Any) -> None:
-        """In parts that fit a datagram each; entries of members stay for as long as a reader may take."""
+        """Sends the member addresses in parts that each fit one datagram."""
         now, transport = self.reactor.seconds(), cast(Any, self.transport)
         members = sorted(address for address, at in self.members.values() if now - at < MEMBER_TTL_S)
         parts = [
@@ -56,7 +56,7 @@
         return tuple(sorted(name for name, at in self.reports.items() if now - at < REPORT_TTL_S))
 
     def visible_names(self) -> tuple[str, ...]:
-        """As callers see it: `late` seconds old."""
+        """The listed names as callers see them, `delay_s` seconds old."""
         now = self.reactor.seconds()
         current_names = self.current_names()
         if not self.history or self.history[-1][1] != current_names:
