--- a/limeridge/sim/bad_callers.py
+++ b/limeridge/sim/bad_callers.py
@@ -18,7 +18,7 @@
 from limeridge.sim.timeline import SECOND
 from limeridge.sim.wires import Asked, Farewell, LineClosing, Passed, SenderEnded
 from limeridge.standins.bad_callers import BadCaller, ConnectOnce, KeyCopier, LateSender, Moment
-from limeridge.standins.callers import Want
+from limeridge.standins.callers import TxnSpec
 
 if TYPE_CHECKING:
     from limeridge.sim.world import Machine, World
@@ -88,7 +88,7 @@
         )
         self.connect(machine, copier)
 
-    def _copied(self, owned: Want) -> Want:
+    def _copied(self, owned: TxnSpec) -> TxnSpec:
         """The same with another body, another tenant, or both."""
         tenants = [f"c{n}" for n in range(self.world.plan.customers) if f"c{n}" != owned.customer]
         changes = self.chance.choice(("body", "tenant", "both")) if tenants else "body"
@@ -100,9 +100,9 @@
     def _product(self, name: str) -> Product:
         return next(product for product in self.world.plan.products if product.name == name)
 
-    def _want(self, product: Product, doc: bytes) -> Want:
+    def _want(self, product: Product, doc: bytes) -> TxnSpec:
         expiry = product.expiry // MS
-        return Want(-1, product.name, PROTOCOL_KINDS[product.kind], "", "", 2.0, expiry, expiry, doc)
+        return TxnSpec(-1, product.name, PROTOCOL_KINDS[product.kind], "", "", 2.0, expiry, expiry, doc)
 
     # ---- requests that cross an end
 
--- a/limeridge/sim/world.py
+++ b/limeridge/sim/world.py
@@ -51,7 +51,7 @@
 from limeridge.sim.reactor import Network, Reactor, Socket
 from limeridge.sim.timeline import BEGIN, SECOND, Life, Timeline
 from limeridge.sim.wires import Passed, Recorder
-from limeridge.standins.callers import Habit, Rude, RudeWay, Stub, Want
+from limeridge.standins.callers import MisbehavingCaller, MisbehavingCallerFactory, Stub, StubOptions, TxnSpec
 from limeridge.standins.kernel import Kernel
 from limeridge.standins.ledger import Ledger
 from limeridge.standins.nodelist import NodeList
@@ -447,7 +447,9 @@
     def stub(self, number: int) -> Stub:
         caller = self.plan.callers[number]
         # One in three rests until it is ended, whatever it was bidden: no draw of its own, so plans stay.
-        habit = Habit(caller.tries, caller.heeds, caller.sticky, caller.hedges, rests=number % 3 == 2)
+        habit = StubOptions(
+            caller.tries, caller.heeds, caller.sticky, caller.hedges, keeps_connections=number % 3 == 2
+        )
         names = tuple(machine.name for machine in self.machines)
         made = Stub(
             self.stub_reactors[number],
@@ -459,7 +461,7 @@
             self.stamp,
             self.ended,
         )
-        made.start(checks=number == 0 and self.plan.checks)
+        made.start(health_checks=number == 0 and self.plan.checks)
         return made
 
     def where(self, name: str) -> tuple[str, int]:
@@ -478,12 +480,12 @@
 
     def ask(self, ask: Ask, number: int) -> None:
         stub = self.stubs[ask.caller]
-        stub.want(self.want(ask, number))
-        self.cases.append(stub.cases[-1])
+        stub.submit(self.want(ask, number))
+        self.cases.append(stub.txns[-1])
 
-    def want(self, ask: Ask, number: int) -> Want:
+    def want(self, ask: Ask, number: int) -> TxnSpec:
         product = self.plan.products[ask.product]
-        return Want(
+        return TxnSpec(
             number,
             product.name,
             PROTOCOL_KINDS[product.kind],
@@ -702,10 +704,16 @@
         machine = self.machine(fault)
         count, kind = divmod(int(fault.amount), RUDE_KINDS)
         for _ in range(max(1, count)):
-            rude = Rude(
-                Rude.KINDS[kind], self.rude_reactor, self.trouble, self.plan.products[0].name, machine.unix
+            rude = MisbehavingCaller(
+                MisbehavingCaller.KINDS[kind],
+                self.rude_reactor,
+                self.trouble,
+                self.plan.products[0].name,
+                machine.unix,
+            )
+            self.rude_reactor.connectTCP(
+                instance_ip(machine.number), 8443, MisbehavingCallerFactory(rude), timeout=1.0
             )
-            self.rude_reactor.connectTCP(instance_ip(machine.number), 8443, RudeWay(rude), timeout=1.0)
         return None
 
     def _key_copy(self, fault: Fault) -> Any:
@@ -730,9 +738,9 @@
 
     def _caller_restart(self, fault: Fault) -> Any:
         number = fault.target % len(self.stubs)
-        for ref in list(self.stubs[number].case_of):
+        for ref in list(self.stubs[number].txn_by_ref):
             self.ended(ref)
-        for case in self.stubs[number].cases:
+        for case in self.stubs[number].txns:
             if case.state == "open":
                 case.state = "forgotten"
         self.stub_reactors[number].shut(in_order=self.trouble.random() < 0.5)
@@ -920,7 +928,7 @@
         probe = Stub(
             self.probe_reactor,
             8,
-            Habit(tries=3, heeds=False),
+            StubOptions(max_tries=3, follows_advice=False),
             self.chance("probe"),
             lambda: (),
             self.where,
@@ -931,8 +939,8 @@
         for number, machine in enumerate([*self.machines, *self.machines]):
             ask = Ask(0, 0, 0, -1, "", 2.0, self.plan.products[0].expiry // MS, 2_000, 1, 5_000)
             probe.visible_names = lambda name=machine.name: (name,)  # type: ignore[misc]
-            cases.append((machine, probe.want(self.want(ask, 100_000 + number))))
-            cases[-1][1].maybe_ran = machine.name  # its later tries go to the same instance
+            cases.append((machine, probe.submit(self.want(ask, 100_000 + number))))
+            cases[-1][1].may_have_run_on = machine.name  # its later tries go to the same instance
         self.wait(PROBE_WAIT, lambda: not any(case.state == "open" for _, case in cases))
         self.judged["heals"] += 1
         for machine in self.machines:
--- a/limeridge/standins/bad_callers.py
+++ b/limeridge/standins/bad_callers.py
@@ -19,20 +19,20 @@
 from twisted.internet.protocol import Protocol as Wire
 from twisted.python.failure import Failure
 
-from limeridge.standins.callers import Want, framed
+from limeridge.standins.callers import TxnSpec, frame
 
 NUMBER = 9  # that a bad caller goes by
 CLOSED_AFTER = 1.0  # seconds after a farewell until an instance ends a connection that rests on
 REPEAT_WITHIN = 0.2  # seconds after a copy until its owner's repeat is sent
 
 
-def request(want: Want, number: int, ref: str, unix_ms: int, resent: bool = False) -> bytes:
+def request(want: TxnSpec, number: int, ref: str, unix_ms: int, resent: bool = False) -> bytes:
     """A whole request under the id `number`, framed."""
     params: dict[str, object] = {
         "i": ref,
         "s": unix_ms,
         "f": NUMBER,
-        "d": want.patience,
+        "d": want.try_timeout_ms,
         "m": want.size_kb,
         "p": 0.5,
         "doc": base64.b64encode(want.doc).decode(),
@@ -44,7 +44,7 @@
     if resent:
         params["r"] = 1
     message = {"jsonrpc": "2.0", "id": number, "method": want.product, "params": params}
-    return framed(orjson.dumps(message))
+    return frame(orjson.dumps(message))
 
 
 class ConnectOnce(ClientFactory):
@@ -74,7 +74,7 @@
         self.sent = 0
         self.timer: Any = None
 
-    def send(self, want: Want, resent: bool = False, put: Callable[[bytes], object] | None = None) -> str:
+    def send(self, want: TxnSpec, resent: bool = False, put: Callable[[bytes], object] | None = None) -> str:
         """The ref that the request was sent under; `put` takes its bytes in place of the connection."""
         self.sent += 1
         ref = self.open[self.sent] = f"{self.chance.getrandbits(64):016x}"
@@ -105,7 +105,7 @@
 class KeyCopier(BadCaller):
     """Sends a request under a key that it copied, and a moment later a repeat as the key's owner sends it."""
 
-    def __init__(self, owned: Want, copied: Want, *usual: Any) -> None:
+    def __init__(self, owned: TxnSpec, copied: TxnSpec, *usual: Any) -> None:
         super().__init__(*usual)
         self.owned, self.copied = owned, copied
 
@@ -115,7 +115,7 @@
 
     def repeat(self) -> None:
         self.send(self.owned, resent=True)
-        self.timer = self.reactor.callLater(self.owned.patience / 1_000, self.transport.loseConnection)
+        self.timer = self.reactor.callLater(self.owned.try_timeout_ms / 1_000, self.transport.loseConnection)
 
 
 class Moment(Enum):
@@ -136,7 +136,7 @@
 
     def __init__(
         self,
-        want: Want,
+        want: TxnSpec,
         moment: Moment,
         silent: bool,
         stands: Callable[[LateSender], None],
--- a/limeridge/standins/callers.py
+++ b/limeridge/standins/callers.py
@@ -17,27 +17,27 @@
 from twisted.internet.protocol import Protocol as Wire
 from twisted.python.failure import Failure
 
-OPEN_MOST = 32
-CONNECT = 1.0  # seconds
-IDLE = 4.0  # seconds after which a connection that rests is closed
-CHECK = 1.0  # seconds between health checks
-CROSSED = 0.05  # seconds within which a txn that crossed a close is sent again
+MAX_OPEN_PER_CONNECTION = 32
+CONNECT_TIMEOUT_S = 1.0  # seconds
+IDLE_TIMEOUT_S = 4.0  # seconds after which a connection that rests is closed
+HEALTH_CHECK_INTERVAL_S = 1.0  # seconds between health checks
+CROSSED_WINDOW_S = 0.05  # seconds within which a txn that crossed a close is sent again
 
 
 @dataclass(slots=True, frozen=True)
-class Habit:
+class StubOptions:
     """How a stub behaves. `tries` counts all tries of a txn; `sticky` of 1 starts at the head of its list."""
 
-    tries: int = 3
-    heeds: bool = True  # the advice when to come back, and not to try elsewhere
-    sticky: float = 0.3
-    hedges: float = 0.0  # share of inquiry-like txns sent to two nodes at once
-    pause: float = 0.01  # seconds between tries
-    rests: bool = False  # keeps its connections until the node ends them
+    max_tries: int = 3
+    follows_advice: bool = True  # the advice when to come back, and not to try elsewhere
+    sticky_share: float = 0.3
+    hedged_share: float = 0.0  # share of inquiry-like txns sent to two nodes at once
+    pause_s: float = 0.01  # seconds between tries
+    keeps_connections: bool = False  # keeps its connections until the node ends them
 
 
 @dataclass(slots=True, frozen=True)
-class Want:
+class TxnSpec:
     """A txn as a client wants it: `patience` is for each try and `expiry` for all, in milliseconds."""
 
     number: int
@@ -46,53 +46,53 @@
     customer: str
     key: str
     size_kb: float
-    patience: int
-    expiry: int
+    try_timeout_ms: int
+    expiry_ms: int
     doc: bytes
-    effort: float = 0.0
+    effort_ms: float = 0.0
 
 
 @dataclass(slots=True, eq=False)
-class Try:
-    want: Want
+class Attempt:
+    spec: TxnSpec
     ref: str
     node: str
     sent: float = 0.0
     id: int = 0
-    line: Line | None = None
-    over: bool = False
+    connection: Connection | None = None
+    finished: bool = False
     timer: Any = None
     resent: bool = False
 
 
 @dataclass(slots=True, eq=False)
-class Case:
+class ClientTxn:
     """What a stub knows of a client's txn."""
 
-    want: Want
-    begun: float
-    tries: int = 0
+    spec: TxnSpec
+    started_at: float
+    attempts: int = 0
     state: str = "open"  # settled, declined, voided, given up
-    maybe_ran: str = ""  # the node where it may have run
-    ended: float = 0.0
-    avoid: dict[str, None] = field(default_factory=dict)
+    may_have_run_on: str = ""  # the node where it may have run
+    ended_at: float = 0.0
+    avoided_nodes: dict[str, None] = field(default_factory=dict)
 
 
-class Line(Wire):
+class Connection(Wire):
     transport: Any
 
     def __init__(self, stub: Stub, node: str) -> None:
         self.stub, self.node, self.data = stub, node, b""
-        self.open: dict[int, Try] = {}
+        self.open_attempts: dict[int, Attempt] = {}
         self.next_id = 0
-        self.leaving = self.stands = False
-        self.used = 0.0
+        self.closing = self.is_connected = False
+        self.last_used_at = 0.0
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
-        self.stands = True
-        for each in self.open.values():
-            self.stub.put(self, each)
+        self.is_connected = True
+        for attempt in self.open_attempts.values():
+            self.stub.send_request(self, attempt)
 
     def dataReceived(self, data: bytes) -> None:
         self.data += data
@@ -102,40 +102,45 @@
                 return
             body = self.data[end + 4 : end + 4 + length]
             self.data = self.data[end + 4 + length :]
-            self.take(orjson.loads(body))
+            self.handle_message(orjson.loads(body))
 
-    def take(self, message: dict[str, Any]) -> None:
+    def handle_message(self, message: dict[str, Any]) -> None:
         if message.get("method") == "farewell":
-            self.leaving = True
-            self.rest()
+            self.closing = True
+            self.close_if_idle()
             return
         number = message.get("id")
-        each = self.open.pop(number, None) if isinstance(number, int) else None
-        if each is not None:
-            self.used = self.stub.reactor.seconds()
-            self.stub.answered(each, message)
-        self.rest()
-
-    def rest(self) -> None:
-        if self.leaving and not self.open and self.stands and not self.stub.habit.rests:
+        attempt = self.open_attempts.pop(number, None) if isinstance(number, int) else None
+        if attempt is not None:
+            self.last_used_at = self.stub.reactor.seconds()
+            self.stub.handle_answer(attempt, message)
+        self.close_if_idle()
+
+    def close_if_idle(self) -> None:
+        if (
+            self.closing
+            and not self.open_attempts
+            and self.is_connected
+            and not self.stub.options.keeps_connections
+        ):
             self.transport.loseConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self.stands = False
-        self.stub.lost(self)
+        self.is_connected = False
+        self.stub.handle_connection_lost(self)
 
 
-class Way(ClientFactory):
+class ConnectionFactory(ClientFactory):
     noisy = False
 
-    def __init__(self, line: Line) -> None:
-        self.line = line
+    def __init__(self, connection: Connection) -> None:
+        self.connection = connection
 
-    def buildProtocol(self, addr: object) -> Line:
-        return self.line
+    def buildProtocol(self, addr: object) -> Connection:
+        return self.connection
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
-        self.line.stub.refused(self.line)
+        self.connection.stub.handle_connection_refused(self.connection)
 
 
 class Stub:
@@ -147,295 +152,317 @@
         self,
         reactor: Any,
         number: int,
-        habit: Habit,
+        options: StubOptions,
         chance: random.Random,
         visible_names: Callable[[], Any],
-        where: Callable[[str], tuple[str, int]],
+        address_of: Callable[[str], tuple[str, int]],
         unix: Callable[[str], float],
-        over: Callable[[str], None],
+        on_finished: Callable[[str], None],
     ) -> None:
-        self.reactor, self.number, self.habit, self.chance = reactor, number, habit, chance
-        self.visible_names, self.where, self.unix, self.over = visible_names, where, unix, over
-        self.lines: dict[str, list[Line]] = {}
-        self.cases: list[Case] = []
-        self.away: dict[str, float] = {}  # until when a node is left alone
-        self.answers: dict[str, int] = {}
-        self.checks = [0, 0]  # bad, good
+        self.reactor, self.number, self.options, self.chance = reactor, number, options, chance
+        self.visible_names, self.address_of, self.unix, self.on_finished = (
+            visible_names,
+            address_of,
+            unix,
+            on_finished,
+        )
+        self.connections: dict[str, list[Connection]] = {}
+        self.txns: list[ClientTxn] = []
+        self.backoff_until: dict[str, float] = {}  # until when a node is left alone
+        self.outcome_counts: dict[str, int] = {}
+        self.health_checks = [0, 0]  # bad, good
         self.healthy: dict[str, bool] = {}
-        self.case_of: dict[str, Case] = {}  # by the ref of each try that is open
+        self.txn_by_ref: dict[str, ClientTxn] = {}  # by the ref of each try that is open
 
-    def start(self, checks: bool = True) -> None:
-        if checks:
-            self.reactor.callLater(CHECK * self.chance.random(), self.check)
-        self.reactor.callLater(IDLE, self.tidy)
+    def start(self, health_checks: bool = True) -> None:
+        if health_checks:
+            self.reactor.callLater(HEALTH_CHECK_INTERVAL_S * self.chance.random(), self.run_health_checks)
+        self.reactor.callLater(IDLE_TIMEOUT_S, self.close_idle_connections)
 
     # ---- a txn
 
-    def want(self, want: Want) -> Case:
-        case = Case(want, self.reactor.seconds())
-        self.cases.append(case)
-        self.attempt(case)
-        if want.kind == "inquiry-like" and self.chance.random() < self.habit.hedges:
-            self.attempt(case)
-        return case
+    def submit(self, spec: TxnSpec) -> ClientTxn:
+        txn = ClientTxn(spec, self.reactor.seconds())
+        self.txns.append(txn)
+        self.start_attempt(txn)
+        if spec.kind == "inquiry-like" and self.chance.random() < self.options.hedged_share:
+            self.start_attempt(txn)
+        return txn
 
-    def choose(self, case: Case) -> str:
+    def choose_node(self, txn: ClientTxn) -> str:
         now = self.reactor.seconds()
-        if case.maybe_ran:
-            return case.maybe_ran  # one that may have run goes there again and nowhere else
-        names = [name for name in self.visible_names() if name not in case.avoid]
-        calm = [name for name in names if not self.habit.heeds or self.away.get(name, 0.0) <= now]
-        calm = [name for name in calm if self.healthy.get(name, True)] or calm or names
-        if not calm:
+        if txn.may_have_run_on:
+            return txn.may_have_run_on  # one that may have run goes there again and nowhere else
+        names = [name for name in self.visible_names() if name not in txn.avoided_nodes]
+        candidates = [
+            name
+            for name in names
+            if not self.options.follows_advice or self.backoff_until.get(name, 0.0) <= now
+        ]
+        candidates = [name for name in candidates if self.healthy.get(name, True)] or candidates or names
+        if not candidates:
             return ""
-        if self.chance.random() < self.habit.sticky:
-            return str(calm[self.number % len(calm)])
-        return str(calm[int(self.chance.random() * len(calm))])
+        if self.chance.random() < self.options.sticky_share:
+            return str(candidates[self.number % len(candidates)])
+        return str(candidates[int(self.chance.random() * len(candidates))])
 
-    def attempt(self, case: Case) -> None:
-        now, want = self.reactor.seconds(), case.want
-        if case.state != "open":
+    def start_attempt(self, txn: ClientTxn) -> None:
+        now, spec = self.reactor.seconds(), txn.spec
+        if txn.state != "open":
             return
-        left = want.expiry - (now - case.begun) * 1_000
-        if case.tries >= self.habit.tries or left < 20:
-            self.finish(case, "given up")
+        left_ms = spec.expiry_ms - (now - txn.started_at) * 1_000
+        if txn.attempts >= self.options.max_tries or left_ms < 20:
+            self.finish_txn(txn, "given up")
             return
-        node = self.choose(case)
-        case.tries += 1
+        node = self.choose_node(txn)
+        txn.attempts += 1
         if not node:
-            case.avoid.clear()
-            self.again(case, 0.2)
+            txn.avoided_nodes.clear()
+            self.schedule_retry(txn, 0.2)
             return
-        each = Try(want, f"{self.chance.getrandbits(64):016x}", node, resent=case.tries > 1)
-        each.timer = self.reactor.callLater(min(want.patience, left) / 1_000, self.expired, case, each)
-        self.line_to(node, case, each)
-
-    def line_to(self, node: str, case: Case, each: Try) -> None:
-        line = next(
-            (line for line in self.lines.get(node, []) if not line.leaving and len(line.open) < OPEN_MOST),
+        attempt = Attempt(spec, f"{self.chance.getrandbits(64):016x}", node, resent=txn.attempts > 1)
+        attempt.timer = self.reactor.callLater(
+            min(spec.try_timeout_ms, left_ms) / 1_000, self.handle_timeout, txn, attempt
+        )
+        self.assign_connection(node, txn, attempt)
+
+    def assign_connection(self, node: str, txn: ClientTxn, attempt: Attempt) -> None:
+        connection = next(
+            (
+                connection
+                for connection in self.connections.get(node, [])
+                if not connection.closing and len(connection.open_attempts) < MAX_OPEN_PER_CONNECTION
+            ),
             None,
         )
-        if line is None:
-            line = Line(self, node)
-            self.lines.setdefault(node, []).append(line)
-            self.enter(line, case, each)
-            host, port = self.where(node)
-            self.reactor.connectTCP(host, port, Way(line), timeout=CONNECT)
+        if connection is None:
+            connection = Connection(self, node)
+            self.connections.setdefault(node, []).append(connection)
+            self.register_attempt(connection, txn, attempt)
+            host, port = self.address_of(node)
+            self.reactor.connectTCP(host, port, ConnectionFactory(connection), timeout=CONNECT_TIMEOUT_S)
             return
-        self.enter(line, case, each)
-        if line.stands:
-            self.put(line, each)
-
-    def enter(self, line: Line, case: Case, each: Try) -> None:
-        line.next_id += 1
-        each.id, each.line = line.next_id, line
-        line.open[each.id] = each
-        self.case_of[each.ref] = case
-
-    def put(self, line: Line, each: Try) -> None:
-        want, now = each.want, self.reactor.seconds()
-        each.sent = now
-        left = (each.timer.getTime() - now) * 1_000
+        self.register_attempt(connection, txn, attempt)
+        if connection.is_connected:
+            self.send_request(connection, attempt)
+
+    def register_attempt(self, connection: Connection, txn: ClientTxn, attempt: Attempt) -> None:
+        connection.next_id += 1
+        attempt.id, attempt.connection = connection.next_id, connection
+        connection.open_attempts[attempt.id] = attempt
+        self.txn_by_ref[attempt.ref] = txn
+
+    def send_request(self, connection: Connection, attempt: Attempt) -> None:
+        spec, now = attempt.spec, self.reactor.seconds()
+        attempt.sent = now
+        left_ms = (attempt.timer.getTime() - now) * 1_000
         params: dict[str, object] = {
-            "i": each.ref,
-            "s": int(self.unix(each.node) * 1_000),
+            "i": attempt.ref,
+            "s": int(self.unix(attempt.node) * 1_000),
             "f": self.number,
-            "d": max(1, int(left)),
-            "m": want.size_kb,
+            "d": max(1, int(left_ms)),
+            "m": spec.size_kb,
             "p": 0.5,
-            "doc": base64.b64encode(want.doc).decode(),
+            "doc": base64.b64encode(spec.doc).decode(),
         }
-        if want.customer:
-            params["t"] = want.customer
-        if each.resent:
+        if spec.customer:
+            params["t"] = spec.customer
+        if attempt.resent:
             params["r"] = 1
-        if want.effort:
-            params["h"] = want.effort
-        if want.key:
-            params["k"] = want.key
-        self.send(line, {"jsonrpc": "2.0", "id": each.id, "method": want.product, "params": params})
+        if spec.effort_ms:
+            params["h"] = spec.effort_ms
+        if spec.key:
+            params["k"] = spec.key
+        self.send(connection, {"jsonrpc": "2.0", "id": attempt.id, "method": spec.product, "params": params})
 
-    def send(self, line: Line, message: dict[str, object]) -> None:
+    def send(self, connection: Connection, message: dict[str, object]) -> None:
         body = orjson.dumps(message)
-        line.used = self.reactor.seconds()
-        line.transport.write(b"Content-Length: %d\r\n\r\n%b" % (len(body), body))
+        connection.last_used_at = self.reactor.seconds()
+        connection.transport.write(b"Content-Length: %d\r\n\r\n%b" % (len(body), body))
 
-    def end(self, each: Try) -> bool:
+    def finish_attempt(self, attempt: Attempt) -> bool:
         """True for the first that ends it."""
-        first, each.over = not each.over, True
+        first, attempt.finished = not attempt.finished, True
         if first:
-            if each.timer is not None and each.timer.active():
-                each.timer.cancel()
-            self.over(each.ref)
+            if attempt.timer is not None and attempt.timer.active():
+                attempt.timer.cancel()
+            self.on_finished(attempt.ref)
         return first
 
-    def answered(self, each: Try, message: dict[str, Any]) -> None:
-        case = self.case_of.pop(each.ref, None)
-        if not self.end(each) or case is None:
+    def handle_answer(self, attempt: Attempt, message: dict[str, Any]) -> None:
+        txn = self.txn_by_ref.pop(attempt.ref, None)
+        if not self.finish_attempt(attempt) or txn is None:
             return
         if "result" in message:
-            self.finish(case, "settled")
+            self.finish_txn(txn, "settled")
             return
         code, data = message["error"]["code"], message["error"].get("data") or {}
         if code == -32008:
-            self.count("declined")
-            if self.habit.heeds:
-                self.away[each.node] = self.reactor.seconds() + data.get("w", 0) / 1_000
+            self.count_outcome("declined")
+            if self.options.follows_advice:
+                self.backoff_until[attempt.node] = self.reactor.seconds() + data.get("w", 0) / 1_000
                 if data.get("l"):
-                    self.finish(case, "declined")
+                    self.finish_txn(txn, "declined")
                     return
-            case.avoid[each.node] = None
-            self.again(case, self.habit.pause)
+            txn.avoided_nodes[attempt.node] = None
+            self.schedule_retry(txn, self.options.pause_s)
             return
-        self.count("voided")
-        self.failed(case, each)
+        self.count_outcome("voided")
+        self.handle_failure(txn, attempt)
 
-    def failed(self, case: Case, each: Try) -> None:
+    def handle_failure(self, txn: ClientTxn, attempt: Attempt) -> None:
         """It may have run: inquiry-like ones go anywhere, referenced ones back to where they were."""
-        if case.want.kind == "once-only":
-            self.finish(case, "voided")
+        if txn.spec.kind == "once-only":
+            self.finish_txn(txn, "voided")
             return
-        if case.want.kind == "referenced":
-            case.maybe_ran = each.node
-        self.again(case, self.habit.pause)
+        if txn.spec.kind == "referenced":
+            txn.may_have_run_on = attempt.node
+        self.schedule_retry(txn, self.options.pause_s)
 
-    def again(self, case: Case, pause: float) -> None:
-        self.reactor.callLater(pause * (0.5 + self.chance.random()), self.attempt, case)
+    def schedule_retry(self, txn: ClientTxn, pause_s: float) -> None:
+        self.reactor.callLater(pause_s * (0.5 + self.chance.random()), self.start_attempt, txn)
 
-    def expired(self, case: Case, each: Try) -> None:
-        line = each.line
-        if each.over or line is None:
+    def handle_timeout(self, txn: ClientTxn, attempt: Attempt) -> None:
+        connection = attempt.connection
+        if attempt.finished or connection is None:
             return
-        line.open.pop(each.id, None)
-        if line.stands:
-            self.send(line, {"jsonrpc": "2.0", "method": "revoke", "params": {"i": each.ref, "id": each.id}})
-        self.case_of.pop(each.ref, None)
-        sent = each.sent > 0
-        self.end(each)
-        line.rest()
-        self.count("expired")
+        connection.open_attempts.pop(attempt.id, None)
+        if connection.is_connected:
+            self.send(
+                connection,
+                {"jsonrpc": "2.0", "method": "revoke", "params": {"i": attempt.ref, "id": attempt.id}},
+            )
+        self.txn_by_ref.pop(attempt.ref, None)
+        sent = attempt.sent > 0
+        self.finish_attempt(attempt)
+        connection.close_if_idle()
+        self.count_outcome("expired")
         if sent:
-            self.failed(case, each)
+            self.handle_failure(txn, attempt)
         else:
-            self.again(case, self.habit.pause)
+            self.schedule_retry(txn, self.options.pause_s)
 
-    def finish(self, case: Case, state: str) -> None:
-        if case.state == "open":
-            case.state, case.ended = state, self.reactor.seconds()
-            self.count(state)
+    def finish_txn(self, txn: ClientTxn, state: str) -> None:
+        if txn.state == "open":
+            txn.state, txn.ended_at = state, self.reactor.seconds()
+            self.count_outcome(state)
 
-    def count(self, what: str) -> None:
-        self.answers[what] = self.answers.get(what, 0) + 1
+    def count_outcome(self, outcome: str) -> None:
+        self.outcome_counts[outcome] = self.outcome_counts.get(outcome, 0) + 1
 
     # ---- connections
 
-    def forget(self, line: Line) -> list[Try]:
-        lines = self.lines.get(line.node, [])
-        if line in lines:
-            lines.remove(line)
-        tries, line.open = list(line.open.values()), {}
-        return tries
+    def remove_connection(self, connection: Connection) -> list[Attempt]:
+        connections = self.connections.get(connection.node, [])
+        if connection in connections:
+            connections.remove(connection)
+        max_tries, connection.open_attempts = list(connection.open_attempts.values()), {}
+        return max_tries
 
-    def lost(self, line: Line) -> None:
+    def handle_connection_lost(self, connection: Connection) -> None:
         now = self.reactor.seconds()
-        for each in self.forget(line):
-            case = self.case_of.pop(each.ref, None)
-            if case is None or not self.end(each):
+        for attempt in self.remove_connection(connection):
+            txn = self.txn_by_ref.pop(attempt.ref, None)
+            if txn is None or not self.finish_attempt(attempt):
                 continue
-            if line.leaving and now - each.sent < CROSSED:
-                self.again(case, 0.001)
+            if connection.closing and now - attempt.sent < CROSSED_WINDOW_S:
+                self.schedule_retry(txn, 0.001)
             else:
-                self.failed(case, each)
+                self.handle_failure(txn, attempt)
 
-    def refused(self, line: Line) -> None:
+    def handle_connection_refused(self, connection: Connection) -> None:
         """Nothing ran."""
-        for each in self.forget(line):
-            case = self.case_of.pop(each.ref, None)
-            if case is not None and self.end(each):
-                case.avoid[each.node] = None
-                self.count("refused")
-                self.again(case, self.habit.pause)
-
-    def tidy(self) -> None:
+        for attempt in self.remove_connection(connection):
+            txn = self.txn_by_ref.pop(attempt.ref, None)
+            if txn is not None and self.finish_attempt(attempt):
+                txn.avoided_nodes[attempt.node] = None
+                self.count_outcome("refused")
+                self.schedule_retry(txn, self.options.pause_s)
+
+    def close_idle_connections(self) -> None:
         now = self.reactor.seconds()
-        for lines in self.lines.values():
-            for line in lines:
-                if line.stands and not line.open and now - line.used > IDLE:
-                    line.leaving = True
-                    line.rest()
-        self.reactor.callLater(IDLE / 2, self.tidy)
+        for connections in self.connections.values():
+            for connection in connections:
+                if (
+                    connection.is_connected
+                    and not connection.open_attempts
+                    and now - connection.last_used_at > IDLE_TIMEOUT_S
+                ):
+                    connection.closing = True
+                    connection.close_if_idle()
+        self.reactor.callLater(IDLE_TIMEOUT_S / 2, self.close_idle_connections)
 
     # ---- health checks
 
-    def check(self) -> None:
+    def run_health_checks(self) -> None:
         for name in self.visible_names():
-            Check(self, name, deep=self.chance.random() < 0.3)
-        self.reactor.callLater(CHECK, self.check)
+            HealthCheck(self, name, deep=self.chance.random() < 0.3)
+        self.reactor.callLater(HEALTH_CHECK_INTERVAL_S, self.run_health_checks)
 
-    def checked(self, node: str, good: bool) -> None:
-        self.checks[good] += 1
+    def record_health(self, node: str, good: bool) -> None:
+        self.health_checks[good] += 1
         self.healthy[node] = good
 
 
-class Check(ClientFactory):
+class HealthCheck(ClientFactory):
     """One health check on a connection of its own."""
 
     noisy = False
 
     def __init__(self, stub: Stub, node: str, deep: bool) -> None:
-        self.stub, self.node, self.deep, self.told = stub, node, deep, False
-        host, port = stub.where(node)
-        stub.reactor.connectTCP(host, port, self, timeout=CONNECT)
+        self.stub, self.node, self.deep, self.is_reported = stub, node, deep, False
+        host, port = stub.address_of(node)
+        stub.reactor.connectTCP(host, port, self, timeout=CONNECT_TIMEOUT_S)
 
-    def buildProtocol(self, addr: object) -> CheckLine:
-        return CheckLine(self)
+    def buildProtocol(self, addr: object) -> HealthCheckConnection:
+        return HealthCheckConnection(self)
 
-    def tell(self, good: bool) -> None:
-        if not self.told:
-            self.told = True
-            self.stub.checked(self.node, good)
+    def report(self, good: bool) -> None:
+        if not self.is_reported:
+            self.is_reported = True
+            self.stub.record_health(self.node, good)
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
-        self.tell(False)
+        self.report(False)
 
 
-class CheckLine(Wire):
+class HealthCheckConnection(Wire):
     transport: Any
 
-    def __init__(self, check: Check) -> None:
+    def __init__(self, check: HealthCheck) -> None:
         self.check, self.data, self.timer = check, b"", None
 
     def connectionMade(self) -> None:
         params = {"x": True} if self.check.deep else {}
         body = orjson.dumps({"jsonrpc": "2.0", "id": 1, "method": "heartbeat", "params": params})
         self.transport.write(b"Content-Length: %d\r\n\r\n%b" % (len(body), body))
-        self.timer = self.check.stub.reactor.callLater(CONNECT, self.transport.abortConnection)
+        self.timer = self.check.stub.reactor.callLater(CONNECT_TIMEOUT_S, self.transport.abortConnection)
 
     def dataReceived(self, data: bytes) -> None:
         self.data += data
         if self.data.endswith(b"}"):
-            self.check.tell(b'"ready":true' in self.data)
+            self.check.report(b'"ready":true' in self.data)
             self.transport.loseConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
-        self.check.tell(False)
+        self.check.report(False)
 
 
 # ---- bad ones
 
-GOOD = (
+VALID_REQUEST = (
     b'{"jsonrpc":"2.0","id":%d,"method":"%s","params":{"i":"%s","s":%d,"f":9,"d":500,"m":10.0,"p":0.1,'
     b'"doc":"d29yaz0xMDAw"}}'
 )
 
 
-def framed(body: bytes) -> bytes:
+def frame(body: bytes) -> bytes:
     return b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
-class Rude(Wire):
+class MisbehavingCaller(Wire):
     """A bad peer: `kind` is what it does."""
 
     transport: Any
@@ -462,17 +489,17 @@
         self.kind, self.reactor, self.chance, self.unix = kind, reactor, chance, unix
         self.product = product.encode()
 
-    def good(self, number: int) -> bytes:
+    def valid_request(self, number: int) -> bytes:
         ref = b"%016x" % self.chance.getrandbits(64)
-        return framed(GOOD % (number, self.product, ref, int(self.unix() * 1_000)))
+        return frame(VALID_REQUEST % (number, self.product, ref, int(self.unix() * 1_000)))
 
     def connectionMade(self) -> None:
-        write, ask = self.transport.write, self.good
+        write, valid_request = self.transport.write, self.valid_request
         match self.kind:
             case "silent":
                 return
             case "half":
-                write(ask(1)[:-10])
+                write(valid_request(1)[:-10])
             case "garbage":
                 write(b"\x16\x03\x01\x02\x00" + self.chance.randbytes(200))
             case "oversize":
@@ -482,19 +509,19 @@
             case "unread":
                 self.transport.pauseProducing()
                 for number in range(1, 40):
-                    write(ask(number))
+                    write(valid_request(number))
             case "same-id":
-                write(ask(7) + ask(7) + ask(8))
+                write(valid_request(7) + valid_request(7) + valid_request(8))
             case "batch":
                 write(
-                    framed(b"[" + GOOD % (1, self.product, b"0" * 16, 5) + b"]")
-                    + framed(b"nonsense")
-                    + ask(3)
+                    frame(b"[" + VALID_REQUEST % (1, self.product, b"0" * 16, 5) + b"]")
+                    + frame(b"nonsense")
+                    + valid_request(3)
                 )
             case "fields":
                 write(
                     b"".join(
-                        framed(body)
+                        frame(body)
                         for body in (
                             b'{"jsonrpc":"1.0","id":1,"method":"x"}',
                             b'{"jsonrpc":"2.0","id":2,"method":"nothing"}',
@@ -506,24 +533,24 @@
                             % (self.product, self.chance.getrandbits(64)),
                         )
                     )
-                    + ask(6)
+                    + valid_request(6)
                 )
             case "revokes":
                 for number in range(1, 5):
                     write(
-                        ask(number)
-                        + framed(b'{"jsonrpc":"2.0","method":"revoke","params":{"id":%d}}' % number)
+                        valid_request(number)
+                        + frame(b'{"jsonrpc":"2.0","method":"revoke","params":{"id":%d}}' % number)
                     )
-                write(framed(b'{"jsonrpc":"2.0","method":"revoke","params":{"i":"ffffffffffffffff"}}'))
+                write(frame(b'{"jsonrpc":"2.0","method":"revoke","params":{"i":"ffffffffffffffff"}}'))
             case "cut-off":
-                write(ask(1) + ask(2) + ask(3)[:50])
+                write(valid_request(1) + valid_request(2) + valid_request(3)[:50])
                 self.reactor.callLater(0.005, self.transport.abortConnection)
             case "early-end":
-                write(ask(1) + ask(2))
+                write(valid_request(1) + valid_request(2))
                 self.reactor.callLater(0.002, self.transport.loseConnection)
             case "flood":
                 for number in range(1, 60):
-                    write(ask(number))
+                    write(valid_request(number))
             case _:
                 write(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 
@@ -531,11 +558,11 @@
         return
 
 
-class RudeWay(ClientFactory):
+class MisbehavingCallerFactory(ClientFactory):
     noisy = False
 
-    def __init__(self, rude: Rude) -> None:
+    def __init__(self, rude: MisbehavingCaller) -> None:
         self.rude = rude
 
-    def buildProtocol(self, addr: object) -> Rude:
+    def buildProtocol(self, addr: object) -> MisbehavingCaller:
         return self.rude
--- a/limeridge/trial/cost.py
+++ b/limeridge/trial/cost.py
@@ -23,7 +23,7 @@
 from twisted.internet.defer import Deferred, ensureDeferred
 
 from limeridge.sim.plan import Ranges, draw
-from limeridge.standins.callers import Habit, Stub, Want
+from limeridge.standins.callers import Stub, StubOptions, TxnSpec
 from limeridge.standins.kernel import Kernel
 from limeridge.standins.ledger import Ledger
 from limeridge.standins.nodelist import NodeList
@@ -148,11 +148,11 @@
         self.children.remove(child)
         port.stopListening()
         for stub in stubs:
-            for lines in stub.lines.values():
+            for lines in stub.connections.values():
                 for line in list(lines):
                     line.transport.abortConnection()
-        cases = [case for stub in stubs for case in stub.cases]
-        times = sorted(case.ended - case.begun for case in cases if case.state == "settled")
+        cases = [case for stub in stubs for case in stub.txns]
+        times = sorted(case.ended_at - case.started_at for case in cases if case.state == "settled")
         return {
             "pair": pair,
             "peers": peers,
@@ -170,7 +170,7 @@
             yield Stub(
                 self.reactor,
                 number,
-                Habit(),
+                StubOptions(),
                 random.Random(100 * pair + number),
                 lambda: ("n0",),
                 lambda _: (at(0), PORT),
@@ -185,8 +185,8 @@
         key = f"k{self.count}" if product.kind == "guarded" else ""
         doc = b"work=%d calls=%d op=3000 n=%d" % (chance.randrange(500, 3_000), number % 2, self.count)
         wait = product.expiry // 1_000
-        stubs[number % len(stubs)].want(
-            Want(self.count, product.name, KINDS[product.kind], "", key, 2.0, wait, wait, doc)
+        stubs[number % len(stubs)].submit(
+            TxnSpec(self.count, product.name, KINDS[product.kind], "", key, 2.0, wait, wait, doc)
         )
 
     def end(self) -> None:
--- a/limeridge/trial/day.py
+++ b/limeridge/trial/day.py
@@ -24,7 +24,7 @@
 from twisted.internet.protocol import ProcessProtocol
 
 from limeridge.sim.plan import Ranges, draw
-from limeridge.standins.callers import Habit, Rude, RudeWay, Stub, Want
+from limeridge.standins.callers import MisbehavingCaller, MisbehavingCallerFactory, Stub, StubOptions, TxnSpec
 from limeridge.standins.kernel import Kernel
 from limeridge.standins.ledger import Ledger
 from limeridge.standins.nodelist import NodeList
@@ -74,7 +74,7 @@
             Stub(
                 self.reactor,
                 number,
-                Habit(),
+                StubOptions(),
                 random.Random(seed + number),
                 self.node_list.visible_names,
                 lambda _: (HERE, self.port),
@@ -132,10 +132,14 @@
         self.stubs[0].start()
         for number in range(int(self.seconds * self.rate)):
             self.reactor.callLater(self.chance.random() * self.seconds, self.ask, number)
-        for kind in Rude.KINDS:
-            rude = Rude(kind, self.reactor, self.chance, self.plan.products[0].name, time.time)
+        for kind in MisbehavingCaller.KINDS:
+            rude = MisbehavingCaller(kind, self.reactor, self.chance, self.plan.products[0].name, time.time)
             self.reactor.callLater(
-                self.chance.random() * self.seconds, self.reactor.connectTCP, HERE, self.port, RudeWay(rude)
+                self.chance.random() * self.seconds,
+                self.reactor.connectTCP,
+                HERE,
+                self.port,
+                MisbehavingCallerFactory(rude),
             )
         self.reactor.callLater(self.seconds + 2.5, self.drain)
 
@@ -144,8 +148,8 @@
         product = self.chance.choice(self.plan.products)
         key = f"k{number}" if product.kind == "guarded" else ""
         doc = b"work=%d calls=%d op=5000 n=%d" % (self.chance.randrange(1_000, 6_000), number % 3, number)
-        self.chance.choice(self.stubs).want(
-            Want(
+        self.chance.choice(self.stubs).submit(
+            TxnSpec(
                 number,
                 product.name,
                 KINDS[product.kind],
@@ -169,11 +173,11 @@
             self.reactor.callWhenRunning(self.start, folder)
             self.reactor.run()
         used = resource.getrusage(resource.RUSAGE_CHILDREN)
-        states = [case.state for stub in self.stubs for case in stub.cases]
+        states = [case.state for stub in self.stubs for case in stub.txns]
         self.report |= {
             "txns": len(states),
             "states": {state: states.count(state) for state in sorted(set(states))},
-            "checks_good": self.stubs[0].checks[1],
+            "checks_good": self.stubs[0].health_checks[1],
             "reports_strange": self.node_list.malformed_reports,
             "lines_broken": [line.decode(errors="replace") for line in self.kernel.malformed_lines],
             "instance_cpu_s": round(used.ru_utime + used.ru_stime, 3),
--- a/limeridge/trial/rig.py
+++ b/limeridge/trial/rig.py
@@ -32,7 +32,7 @@
 from limeridge.peers.peer import own_claim
 from limeridge.settings.load import Unusable
 from limeridge.sim.plan import Ranges, draw
-from limeridge.standins.callers import Habit, Stub, Want
+from limeridge.standins.callers import Stub, StubOptions, TxnSpec
 from limeridge.standins.kernel import Kernel
 from limeridge.standins.ledger import ABANDONED_CALL_S, Ledger
 from limeridge.standins.nodelist import NodeList
@@ -180,7 +180,7 @@
             Stub(
                 reactor,
                 number,
-                Habit(tries=3, heeds=True),
+                StubOptions(max_tries=3, follows_advice=True),
                 random.Random(f"{trial.seed} {number}"),
                 self.list.visible_names,
                 lambda name: (self.host(101, int(name[1:])), PORT),
@@ -410,8 +410,8 @@
             number,
         )
         wait = product.expiry // 1_000
-        self.chance.choice(self.stubs).want(
-            Want(number, product.name, KINDS[product.kind], "", key, 5.0, wait, wait, doc)
+        self.chance.choice(self.stubs).submit(
+            TxnSpec(number, product.name, KINDS[product.kind], "", key, 5.0, wait, wait, doc)
         )
 
     def look(self) -> None:
@@ -504,11 +504,11 @@
 
         def done() -> None:
             if time.monotonic() < until and any(
-                case.state == "open" for stub in self.stubs for case in stub.cases
+                case.state == "open" for stub in self.stubs for case in stub.txns
             ):
                 self.reactor.callLater(0.05, done)
                 return
-            states = [case.state for stub in self.stubs for case in stub.cases]
+            states = [case.state for stub in self.stubs for case in stub.txns]
             self.record.states = {state: states.count(state) for state in sorted(set(states))}
             for child in [*self.children.values(), *self.doubles]:
                 self.kill(child, signal.SIGTERM)
--- a/limeridge/trial/soak_clients.py
+++ b/limeridge/trial/soak_clients.py
@@ -21,7 +21,7 @@
 from twisted.python.failure import Failure
 
 from limeridge.sim.plan import Product
-from limeridge.standins.callers import framed
+from limeridge.standins.callers import frame
 from limeridge.trial.soak_record import SLACK, Record, Request
 
 OPEN_MOST = 6  # requests that a client has open on one connection
@@ -120,7 +120,7 @@
     def send(self, request: Request, doc: bytes, resent: bool = False) -> None:
         """Writes the request; it counts from its last byte on."""
         self.next_id += 1
-        message = framed(orjson.dumps(_message(self.next_id, request, doc, resent)))
+        message = frame(orjson.dumps(_message(self.next_id, request, doc, resent)))
         draw = self.place.chance.random()
         hurried = request.wait < SLOWLY_FROM or self.batch or self.writing
         if hurried or draw < 0.9:
