--- a/limeridge/standins/callers.py
+++ b/limeridge/standins/callers.py
@@ -1,7 +1,7 @@
-"""Stand-ins for caller stubs, usual and bad ones, with the habits that stubs are known for.
+"""Fake caller stubs: well-behaved ones with configurable retry behaviour, and misbehaving ones.
 
-It owns a stub's connections, its tries and what became of them. Its parser is its own, apart from the
-instance's. It must never look into an instance: it knows the node list, what it sent and what came back.
+It owns a stub's connections, attempts and outcomes. Its parser is independent of the instance's. It must not
+read the state of an instance: it knows only the node list, what it sent and what it received.
 """
 
 from __future__ import annotations
@@ -18,27 +18,27 @@
 from twisted.python.failure import Failure
 
 MAX_OPEN_PER_CONNECTION = 32
-CONNECT_TIMEOUT_S = 1.0  # seconds
-IDLE_TIMEOUT_S = 4.0  # seconds after which a connection that rests is closed
-HEALTH_CHECK_INTERVAL_S = 1.0  # seconds between health checks
-CROSSED_WINDOW_S = 0.05  # seconds within which a txn that crossed a close is sent again
+CONNECT_TIMEOUT_S = 1.0
+IDLE_TIMEOUT_S = 4.0  # idle connections are closed after this time
+HEALTH_CHECK_INTERVAL_S = 1.0
+CROSSED_WINDOW_S = 0.05  # a request sent this shortly before a closing connection ended is resent at once
 
 
 @dataclass(slots=True, frozen=True)
 class StubOptions:
-    """How a stub behaves. `tries` counts all tries of a txn; `sticky` of 1 starts at the head of its list."""
+    """How a stub behaves. With a `sticky_share` of 1, a stub always picks the same node of the same list."""
 
-    max_tries: int = 3
-    follows_advice: bool = True  # the advice when to come back, and not to try elsewhere
-    sticky_share: float = 0.3
+    max_tries: int = 3  # per txn, the first included
+    follows_advice: bool = True  # on when to return to a node, and on not trying other nodes
+    sticky_share: float = 0.3  # of attempts that go to the stub's preferred node; others choose at random
     hedged_share: float = 0.0  # share of inquiry-like txns sent to two nodes at once
-    pause_s: float = 0.01  # seconds between tries
-    keeps_connections: bool = False  # keeps its connections until the node ends them
+    pause_s: float = 0.01  # mean delay before a retry
+    keeps_connections: bool = False  # leaves it to the node to close them
 
 
 @dataclass(slots=True, frozen=True)
 class TxnSpec:
-    """A txn as a client wants it: `patience` is for each try and `expiry` for all, in milliseconds."""
+    """A txn to be submitted. `try_timeout_ms` limits each attempt, `expiry_ms` all attempts together."""
 
     number: int
     product: str
@@ -67,13 +67,13 @@
 
 @dataclass(slots=True, eq=False)
 class ClientTxn:
-    """What a stub knows of a client's txn."""
+    """State of a submitted txn."""
 
     spec: TxnSpec
     started_at: float
     attempts: int = 0
-    state: str = "open"  # settled, declined, voided, given up
-    may_have_run_on: str = ""  # the node where it may have run
+    state: str = "open"  # or settled, declined, voided, given up
+    may_have_run_on: str = ""  # the only node that further attempts may go to
     ended_at: float = 0.0
     avoided_nodes: dict[str, None] = field(default_factory=dict)
 
@@ -144,9 +144,12 @@
 
 
 class Stub:
-    """One caller stub. `listed` gives the names that the node list shows, `where` a name's address, `unix`
-    the time that its machine stamps on a txn for that node; `over` hears of each ref that is answered or
-    given up."""
+    """One caller stub.
+
+    `visible_names` returns the names in the node list, `address_of` the address of a name, and `unix` the
+    send time in Unix seconds for a request to a node. `on_finished` is called with the ref of each attempt
+    that was answered or abandoned.
+    """
 
     def __init__(
         self,
@@ -168,11 +171,11 @@
         )
         self.connections: dict[str, list[Connection]] = {}
         self.txns: list[ClientTxn] = []
-        self.backoff_until: dict[str, float] = {}  # until when a node is left alone
+        self.backoff_until: dict[str, float] = {}  # by node, on the reactor's clock
         self.outcome_counts: dict[str, int] = {}
-        self.health_checks = [0, 0]  # bad, good
+        self.health_checks = [0, 0]  # counts: failed, passed
         self.healthy: dict[str, bool] = {}
-        self.txn_by_ref: dict[str, ClientTxn] = {}  # by the ref of each try that is open
+        self.txn_by_ref: dict[str, ClientTxn] = {}  # for open attempts
 
     def start(self, health_checks: bool = True) -> None:
         if health_checks:
@@ -192,7 +195,7 @@
     def choose_node(self, txn: ClientTxn) -> str:
         now = self.reactor.seconds()
         if txn.may_have_run_on:
-            return txn.may_have_run_on  # one that may have run goes there again and nowhere else
+            return txn.may_have_run_on  # a retry elsewhere could run the txn twice
         names = [name for name in self.visible_names() if name not in txn.avoided_nodes]
         candidates = [
             name
@@ -281,7 +284,7 @@
         connection.transport.write(b"Content-Length: %d\r\n\r\n%b" % (len(body), body))
 
     def finish_attempt(self, attempt: Attempt) -> bool:
-        """True for the first that ends it."""
+        """Returns False if the attempt was finished before."""
         first, attempt.finished = not attempt.finished, True
         if first:
             if attempt.timer is not None and attempt.timer.active():
@@ -311,7 +314,10 @@
         self.handle_failure(txn, attempt)
 
     def handle_failure(self, txn: ClientTxn, attempt: Attempt) -> None:
-        """It may have run: inquiry-like ones go anywhere, referenced ones back to where they were."""
+        """Handles an attempt that may have run.
+
+        Inquiry-like txns are retried on any node, referenced ones on the same node, once-only ones never.
+        """
         if txn.spec.kind == "once-only":
             self.finish_txn(txn, "voided")
             return
@@ -371,7 +377,7 @@
                 self.handle_failure(txn, attempt)
 
     def handle_connection_refused(self, connection: Connection) -> None:
-        """Nothing ran."""
+        """Retries, avoiding this node. Without a connection, no request can have run."""
         for attempt in self.remove_connection(connection):
             txn = self.txn_by_ref.pop(attempt.ref, None)
             if txn is not None and self.finish_attempt(attempt):
@@ -450,7 +456,7 @@
         self.check.report(False)
 
 
-# ---- bad ones
+# ---- misbehaving callers
 
 VALID_REQUEST = (
     b'{"jsonrpc":"2.0","id":%d,"method":"%s","params":{"i":"%s","s":%d,"f":9,"d":500,"m":10.0,"p":0.1,'
@@ -463,7 +469,7 @@
 
 
 class MisbehavingCaller(Wire):
-    """A bad peer: `kind` is what it does."""
+    """A client that violates the protocol in one way, named by `kind`."""
 
     transport: Any
     KINDS = (
