--- a/limeridge/sim/bad_callers.py
+++ b/limeridge/sim/bad_callers.py
@@ -17,7 +17,7 @@
 from limeridge.sim.plan import MS, PROTOCOL_KINDS, Product, instance_ip
 from limeridge.sim.timeline import SECOND
 from limeridge.sim.wires import Asked, Farewell, LineClosing, Passed, SenderEnded
-from limeridge.standins.bad_callers import BadCaller, ConnectOnce, KeyCopier, LateSender, Moment
+from limeridge.standins.bad_callers import BadCaller, ConnectOnce, KeyCopier, LateSender, SendTime
 from limeridge.standins.callers import TxnSpec
 
 if TYPE_CHECKING:
@@ -125,11 +125,11 @@
         def ended(sender: LateSender, reset: bool) -> None:
             if machine.lives == life and machine.instance is not None:
                 line = sender.transport.other.serial
-                warned, answered = sender.late_warned, sender.late_answered
-                machine.see(SenderEnded(line, sender.late, sender.silent, warned, answered, reset))
+                warned, answered = sender.late_after_farewell, sender.late_answered
+                machine.see(SenderEnded(line, sender.late_ref, sender.silent, warned, answered, reset))
 
         want = self._want(world.plan.products[0], b"work=2000 calls=0 op=0 n=-1")
-        moment, silent = self.chance.choice(tuple(Moment)), self.chance.random() < SILENT_SHARE
+        moment, silent = self.chance.choice(tuple(SendTime)), self.chance.random() < SILENT_SHARE
         usual = (world.rude_reactor, self.chance, machine.unix, world.ended)
         self.connect(machine, LateSender(want, moment, silent, stands, ended, *usual))
 
@@ -139,7 +139,7 @@
         senders = [
             sender
             for sender in self.known[machine.name].late_senders.values()
-            if sender.moment is Moment.PARTING
+            if sender.send_time is SendTime.BEFORE_SHUTDOWN
         ]
         if senders:
             parts_after = max(plan.stop - int(CLOSE_STREAMS_BEFORE_KILL_S * SECOND), plan.stop // 2)
@@ -147,10 +147,10 @@
 
     def _cross(self, sender: LateSender, event: Farewell | LineClosing) -> None:
         """The instance says farewell or ends a late sender's connection: what is sent now crosses that."""
-        in_the_air = Moment.FAREWELL if isinstance(event, Farewell) else Moment.IN_THE_AIR
-        if sender.moment is in_the_air:
+        in_the_air = SendTime.CROSSING_FAREWELL if isinstance(event, Farewell) else SendTime.CROSSING_CLOSE
+        if sender.send_time is in_the_air:
             self.world.rude_reactor.callLater(0, sender.send_late)
-        elif sender.moment is Moment.UNREAD and isinstance(event, LineClosing):
+        elif sender.send_time is SendTime.BEFORE_CLOSE and isinstance(event, LineClosing):
             self._send_unread([sender])
 
     def _send_unread(self, senders: list[LateSender]) -> None:
--- a/limeridge/standins/bad_callers.py
+++ b/limeridge/standins/bad_callers.py
@@ -21,29 +21,29 @@
 
 from limeridge.standins.callers import TxnSpec, frame
 
-NUMBER = 9  # that a bad caller goes by
-CLOSED_AFTER = 1.0  # seconds after a farewell until an instance ends a connection that rests on
-REPEAT_WITHIN = 0.2  # seconds after a copy until its owner's repeat is sent
+CALLER_NUMBER = 9  # that a bad caller goes by
+IDLE_CLOSE_DELAY_S = 1.0  # seconds after a farewell until an instance ends a connection that rests on
+MAX_REPEAT_DELAY_S = 0.2  # seconds after a copy until its owner's repeat is sent
 
 
-def request(want: TxnSpec, number: int, ref: str, unix_ms: int, resent: bool = False) -> bytes:
+def encode_request(spec: TxnSpec, number: int, ref: str, unix_ms: int, resent: bool = False) -> bytes:
     """A whole request under the id `number`, framed."""
     params: dict[str, object] = {
         "i": ref,
         "s": unix_ms,
-        "f": NUMBER,
-        "d": want.try_timeout_ms,
-        "m": want.size_kb,
+        "f": CALLER_NUMBER,
+        "d": spec.try_timeout_ms,
+        "m": spec.size_kb,
         "p": 0.5,
-        "doc": base64.b64encode(want.doc).decode(),
+        "doc": base64.b64encode(spec.doc).decode(),
     }
-    if want.customer:
-        params["t"] = want.customer
-    if want.key:
-        params["k"] = want.key
+    if spec.customer:
+        params["t"] = spec.customer
+    if spec.key:
+        params["k"] = spec.key
     if resent:
         params["r"] = 1
-    message = {"jsonrpc": "2.0", "id": number, "method": want.product, "params": params}
+    message = {"jsonrpc": "2.0", "id": number, "method": spec.product, "params": params}
     return frame(orjson.dumps(message))
 
 
@@ -53,10 +53,10 @@
     noisy = False
 
     def __init__(self, protocol: Wire) -> None:
-        self.made = protocol
+        self.built_protocol = protocol
 
     def buildProtocol(self, addr: object) -> Wire:
-        return self.made
+        return self.built_protocol
 
 
 class BadCaller(Wire):
@@ -66,19 +66,27 @@
     transport: Any
 
     def __init__(
-        self, reactor: Any, chance: random.Random, unix: Callable[[], float], over: Callable[[str], None]
+        self,
+        reactor: Any,
+        chance: random.Random,
+        unix: Callable[[], float],
+        on_finished: Callable[[str], None],
     ) -> None:
-        self.reactor, self.chance, self.unix, self.over = reactor, chance, unix, over
+        self.reactor, self.chance, self.unix, self.on_finished = reactor, chance, unix, on_finished
         self.data = b""
-        self.open: dict[int, str] = {}  # refs that wait for an answer, by id
+        self.open_refs: dict[int, str] = {}  # refs that wait for an answer, by id
         self.sent = 0
         self.timer: Any = None
 
-    def send(self, want: TxnSpec, resent: bool = False, put: Callable[[bytes], object] | None = None) -> str:
+    def send(
+        self, spec: TxnSpec, resent: bool = False, write: Callable[[bytes], object] | None = None
+    ) -> str:
         """The ref that the request was sent under; `put` takes its bytes in place of the connection."""
         self.sent += 1
-        ref = self.open[self.sent] = f"{self.chance.getrandbits(64):016x}"
-        (put or self.transport.write)(request(want, self.sent, ref, int(self.unix() * 1_000), resent))
+        ref = self.open_refs[self.sent] = f"{self.chance.getrandbits(64):016x}"
+        (write or self.transport.write)(
+            encode_request(spec, self.sent, ref, int(self.unix() * 1_000), resent)
+        )
         return ref
 
     def dataReceived(self, data: bytes) -> None:
@@ -88,44 +96,46 @@
             if len(self.data) < after:
                 return
             message, self.data = orjson.loads(self.data[end + 4 : after]), self.data[after:]
-            self.answered(message)
+            self.handle_message(message)
 
-    def answered(self, message: dict[str, Any]) -> None:
-        ref = self.open.pop(message.get("id") or 0, "")
+    def handle_message(self, message: dict[str, Any]) -> None:
+        ref = self.open_refs.pop(message.get("id") or 0, "")
         if ref:
-            self.over(ref)
+            self.on_finished(ref)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
-        while self.open:
-            self.over(self.open.popitem()[1])
+        while self.open_refs:
+            self.on_finished(self.open_refs.popitem()[1])
 
 
 class KeyCopier(BadCaller):
     """Sends a request under a key that it copied, and a moment later a repeat as the key's owner sends it."""
 
-    def __init__(self, owned: TxnSpec, copied: TxnSpec, *usual: Any) -> None:
-        super().__init__(*usual)
+    def __init__(self, owned: TxnSpec, copied: TxnSpec, *common_arguments: Any) -> None:
+        super().__init__(*common_arguments)
         self.owned, self.copied = owned, copied
 
     def connectionMade(self) -> None:
         self.send(self.copied)
-        self.timer = self.reactor.callLater(REPEAT_WITHIN * self.chance.random(), self.repeat)
+        self.timer = self.reactor.callLater(MAX_REPEAT_DELAY_S * self.chance.random(), self.send_repeat)
 
-    def repeat(self) -> None:
+    def send_repeat(self) -> None:
         self.send(self.owned, resent=True)
         self.timer = self.reactor.callLater(self.owned.try_timeout_ms / 1_000, self.transport.loseConnection)
 
 
-class Moment(Enum):
+class SendTime(Enum):
     """When a late sender sends."""
 
-    FAREWELL = "farewell"  # what it sends crosses the farewell
+    CROSSING_FAREWELL = "farewell"  # what it sends crosses the farewell
     AFTER_FAREWELL = "after the farewell"  # about when the instance ends a connection that rests on
-    IN_THE_AIR = "in the air"  # what it sends crosses the end of the stream
-    PARTING = "parting"  # what it sends lies unread as a drained instance begins to end all connections
-    UNREAD = "unread"  # what it sends lies unread as the instance asks for the end
+    CROSSING_CLOSE = "in the air"  # what it sends crosses the end of the stream
+    BEFORE_SHUTDOWN = (
+        "parting"  # what it sends lies unread as a drained instance begins to end all connections
+    )
+    BEFORE_CLOSE = "unread"  # what it sends lies unread as the instance asks for the end
 
 
 class LateSender(BadCaller):
@@ -136,42 +146,46 @@
 
     def __init__(
         self,
-        want: TxnSpec,
-        moment: Moment,
+        spec: TxnSpec,
+        send_time: SendTime,
         silent: bool,
-        stands: Callable[[LateSender], None],
-        ended: Callable[[LateSender, bool], None],
-        *usual: Any,
+        on_connected: Callable[[LateSender], None],
+        on_closed: Callable[[LateSender, bool], None],
+        *common_arguments: Any,
     ) -> None:
-        super().__init__(*usual)
-        self.want, self.moment, self.silent = want, moment, silent
-        self.stands, self.ended = stands, ended
-        self.late = ""  # the ref of what it sent late
+        super().__init__(*common_arguments)
+        self.spec, self.send_time, self.silent = spec, send_time, silent
+        self.on_connected, self.on_closed = on_connected, on_closed
+        self.late_ref = ""  # the ref of what it sent late
         self.late_answered = False
-        self.warned = self.late_warned = False  # a farewell was read; was before the late one was sent
+        self.farewell_received = self.late_after_farewell = (
+            False  # a farewell was read; was before the late one was sent
+        )
 
     def connectionMade(self) -> None:
-        self.stands(self)
+        self.on_connected(self)
         if not self.silent:
-            self.send(self.want)
+            self.send(self.spec)
 
-    def answered(self, message: dict[str, Any]) -> None:
+    def handle_message(self, message: dict[str, Any]) -> None:
         if message.get("method") == "farewell":
-            self.warned = True
-            if self.moment is Moment.AFTER_FAREWELL and self.timer is None:
-                wait = CLOSED_AFTER * self.chance.uniform(0.9, 1.15)
+            self.farewell_received = True
+            if self.send_time is SendTime.AFTER_FAREWELL and self.timer is None:
+                wait = IDLE_CLOSE_DELAY_S * self.chance.uniform(0.9, 1.15)
                 self.timer = self.reactor.callLater(wait, self.send_late)
             return
-        self.late_answered |= bool(self.late) and self.open.get(message.get("id") or 0) == self.late
-        super().answered(message)
+        self.late_answered |= (
+            bool(self.late_ref) and self.open_refs.get(message.get("id") or 0) == self.late_ref
+        )
+        super().handle_message(message)
 
-    def send_late(self, put: Callable[[bytes], object] | None = None) -> None:
+    def send_late(self, write: Callable[[bytes], object] | None = None) -> None:
         """Once; `put` takes the bytes in place of its connection, where they are not to be on their way."""
-        if not self.late and self.transport.connected:
-            self.late_warned = self.warned
-            self.late = self.send(self.want, put=put)
+        if not self.late_ref and self.transport.connected:
+            self.late_after_farewell = self.farewell_received
+            self.late_ref = self.send(self.spec, write=write)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         super().connectionLost(reason)
-        if self.late:
-            self.ended(self, not isinstance(reason.value, ConnectionDone))
+        if self.late_ref:
+            self.on_closed(self, not isinstance(reason.value, ConnectionDone))
