--- a/limeridge/standins/__init__.py
+++ b/limeridge/standins/__init__.py
@@ -1,2 +1,2 @@
-"""Stand-ins for the far ends of an instance, written from the protocol; the same on virtual and real
-sockets."""
+"""Fakes of the services and callers that an instance talks to, written from the protocol specification. They
+run unchanged on virtual and on real sockets."""
--- a/limeridge/standins/bad_callers.py
+++ b/limeridge/standins/bad_callers.py
@@ -1,8 +1,8 @@
-"""Stand-ins for bad callers that are more than bad bytes: one copies another's idempotency key, one
-sends as its connection is ended.
+"""Fake callers that misbehave with well-formed requests: one copies another caller's idempotency key, one
+sends a request while its connection is being closed.
 
-It owns what such a caller sends and when. It must never judge what comes back: the rules of the simulation
-read the wires of the instance.
+It owns what such a caller sends and when. It must not judge the responses: the rules of the simulation check
+the traffic at the instance.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 
 from limeridge.standins.callers import TxnSpec, frame
 
-CALLER_NUMBER = 9  # that a bad caller goes by
-IDLE_CLOSE_DELAY_S = 1.0  # seconds after a farewell until an instance ends a connection that rests on
-MAX_REPEAT_DELAY_S = 0.2  # seconds after a copy until its owner's repeat is sent
+CALLER_NUMBER = 9  # of all bad callers
+IDLE_CLOSE_DELAY_S = 1.0  # from a farewell until an instance closes a connection that stays idle
+MAX_REPEAT_DELAY_S = 0.2  # from a request with a copied key until the owner's repeat of its own
 
 
 def encode_request(spec: TxnSpec, number: int, ref: str, unix_ms: int, resent: bool = False) -> bytes:
-    """A whole request under the id `number`, framed."""
+    """A request with the JSON-RPC id `number`, with its length header."""
     params: dict[str, object] = {
         "i": ref,
         "s": unix_ms,
@@ -48,7 +48,7 @@
 
 
 class ConnectOnce(ClientFactory):
-    """Gives one protocol to one connection."""
+    """Builds the given protocol instance; for a single connection."""
 
     noisy = False
 
@@ -60,8 +60,11 @@
 
 
 class BadCaller(Wire):
-    """One connection of a caller whose requests are whole. `unix` gives the seconds that it stamps on a
-    request, `over` hears of each ref that is answered or given up, as the platform does of any caller's."""
+    """One connection of a caller that sends well-formed requests.
+
+    `unix` returns the send time for a request, in Unix seconds. `on_finished` is called with each ref that
+    was answered or abandoned, as for any caller.
+    """
 
     transport: Any
 
@@ -74,14 +77,14 @@
     ) -> None:
         self.reactor, self.chance, self.unix, self.on_finished = reactor, chance, unix, on_finished
         self.data = b""
-        self.open_refs: dict[int, str] = {}  # refs that wait for an answer, by id
+        self.open_refs: dict[int, str] = {}  # refs without an answer yet, by request id
         self.sent = 0
         self.timer: Any = None
 
     def send(
         self, spec: TxnSpec, resent: bool = False, write: Callable[[bytes], object] | None = None
     ) -> str:
-        """The ref that the request was sent under; `put` takes its bytes in place of the connection."""
+        """Sends a request and returns its ref. `write` replaces the connection's write method."""
         self.sent += 1
         ref = self.open_refs[self.sent] = f"{self.chance.getrandbits(64):016x}"
         (write or self.transport.write)(
@@ -111,7 +114,7 @@
 
 
 class KeyCopier(BadCaller):
-    """Sends a request under a key that it copied, and a moment later a repeat as the key's owner sends it."""
+    """Sends a request with a copied key, and shortly afterwards a repeat as the key's owner would send it."""
 
     def __init__(self, owned: TxnSpec, copied: TxnSpec, *common_arguments: Any) -> None:
         super().__init__(*common_arguments)
@@ -129,20 +132,21 @@
 class SendTime(Enum):
     """When a late sender sends."""
 
-    CROSSING_FAREWELL = "farewell"  # what it sends crosses the farewell
-    AFTER_FAREWELL = "after the farewell"  # about when the instance ends a connection that rests on
-    CROSSING_CLOSE = "in the air"  # what it sends crosses the end of the stream
-    BEFORE_SHUTDOWN = (
-        "parting"  # what it sends lies unread as a drained instance begins to end all connections
-    )
-    BEFORE_CLOSE = "unread"  # what it sends lies unread as the instance asks for the end
+    CROSSING_FAREWELL = "farewell"  # the request crosses the farewell on the wire
+    AFTER_FAREWELL = "after the farewell"  # around the time at which the instance closes idle connections
+    CROSSING_CLOSE = "in the air"  # the request crosses the end of the stream on the wire
+    BEFORE_SHUTDOWN = "parting"  # it is unread when a drained instance starts to close all connections
+    BEFORE_CLOSE = "unread"  # it is unread when the instance closes this connection
 
 
 class LateSender(BadCaller):
-    """Rests after its first request, or says nothing at all, hears no farewell, and sends a request as its
-    connection is ended. `stands` hears of it once it is connected, `ended` of the end, with what it sent
-    late, whether that was answered and whether the end was a reset. Whoever sees the instance's own end of
-    the connection calls `send_late`."""
+    """Stays idle after its first request (`silent`: sends none), ignores the farewell, and sends a late
+    request while its connection is being closed.
+
+    `on_connected` is called once it is connected. `on_closed` is called at the end of the connection if a
+    late request was sent, with whether the connection was reset. The code that observes the instance's side
+    of the connection calls `send_late`.
+    """
 
     def __init__(
         self,
@@ -156,11 +160,10 @@
         super().__init__(*common_arguments)
         self.spec, self.send_time, self.silent = spec, send_time, silent
         self.on_connected, self.on_closed = on_connected, on_closed
-        self.late_ref = ""  # the ref of what it sent late
+        self.late_ref = ""  # of the late request
         self.late_answered = False
-        self.farewell_received = self.late_after_farewell = (
-            False  # a farewell was read; was before the late one was sent
-        )
+        self.farewell_received = False
+        self.late_after_farewell = False  # the farewell arrived before the late request was sent
 
     def connectionMade(self) -> None:
         self.on_connected(self)
@@ -180,7 +183,8 @@
         super().handle_message(message)
 
     def send_late(self, write: Callable[[bytes], object] | None = None) -> None:
-        """Once; `put` takes the bytes in place of its connection, where they are not to be on their way."""
+        """Sends the late request, once. `write` replaces the connection's write method, for a request that
+        must reach the instance without delay."""
         if not self.late_ref and self.transport.connected:
             self.late_after_farewell = self.farewell_received
             self.late_ref = self.send(self.spec, write=write)
