--- a/limeridge/trial/soak.py
+++ b/limeridge/trial/soak.py
@@ -163,7 +163,7 @@
         start_run = kernel.start_run
 
         def began(handle: str, doc: bytes) -> None:
-            self.record.began(plan.number, number, handle)
+            self.record.add_run(plan.number, number, handle)
             start_run(handle, doc)
 
         kernel.start_run = began  # type: ignore[method-assign]
@@ -188,7 +188,9 @@
         if names <= set(self.node_list.visible_names()):
             self.traffic()
         elif self.reactor.seconds() > until:
-            self.record.fault("not ready", f"{sorted(names)}, listed are {self.node_list.visible_names()}")
+            self.record.add_fault(
+                "not ready", f"{sorted(names)}, listed are {self.node_list.visible_names()}"
+            )
             self.finish()
         else:
             self.reactor.callLater(LOOK, self.await_ready, until)
@@ -273,7 +275,9 @@
         if not life.over:
             life.killed = True
             life.signal("KILL")
-            self.record.fault("alive at the kill", f"instance {plan.number}, {plan.stop} s after", soft=True)
+            self.record.add_fault(
+                "alive at the kill", f"instance {plan.number}, {plan.stop} s after", soft=True
+            )
         self.begin_life(plan, 1)
         self.reactor.callLater(AFTER + SUCCESSOR_STOP, self.end_successor, plan)
 
@@ -295,13 +299,13 @@
         self.record.counts[f"lives ended by {kind}"] += 1
         if not life.killed and life.exit_code != 0:
             soft = life.exit_code is None and life.number == 1  # the rig's kill of a successor that drains
-            self.record.fault("exit", f"instance {life.plan.number} ended with {life.exit_code}", soft)
+            self.record.add_fault("exit", f"instance {life.plan.number} ended with {life.exit_code}", soft)
         if b'"trace"' in life.child.log or b"Traceback" in life.child.log:
-            self.record.fault("trace", life.child.log.decode(errors="replace")[-1_500:])
+            self.record.add_fault("trace", life.child.log.decode(errors="replace")[-1_500:])
         if life.most_descriptors > life.plan.sockets:
-            self.record.fault("descriptors", f"{life.most_descriptors} of {life.plan.sockets}")
+            self.record.add_fault("descriptors", f"{life.most_descriptors} of {life.plan.sockets}")
         if life.most_memory_mb > 64:
-            self.record.fault("memory", f"{life.most_memory_mb:.0f} MB of 64")
+            self.record.add_fault("memory", f"{life.most_memory_mb:.0f} MB of 64")
         if len(self.all_lives) == 2 * len(self.plan.instances) and all(each.over for each in self.all_lives):
             self.reactor.callLater(0.1, self.finish)
 
@@ -334,7 +338,7 @@
             "most_descriptors": max(each.most_descriptors for each in self.all_lives),
             "longest_wait": round(max(each.longest_wait for each in self.all_lives), 3),
             "faults": [
-                {"rule": each.rule, "what": each.what, "soft": each.soft} for each in self.record.broken()
+                {"rule": each.rule, "what": each.what, "soft": each.soft} for each in self.record.violations()
             ],
         }
 
--- a/limeridge/trial/soak_clients.py
+++ b/limeridge/trial/soak_clients.py
@@ -22,7 +22,7 @@
 
 from limeridge.sim.plan import Product
 from limeridge.standins.callers import frame
-from limeridge.trial.soak_record import SLACK, Record, Request
+from limeridge.trial.soak_record import SLACK_S, Record, Request
 
 OPEN_MOST = 6  # requests that a client has open on one connection
 WAITS_MS = (20, 60, 400)  # that a client waits, besides a class's whole time
@@ -148,15 +148,15 @@
 
     def written(self, number: int, request: Request, doc: bytes) -> None:
         """Its time runs from when it was begun to be written, as `s` tells."""
-        self.place.record.asked(request)
-        left = request.due + SLACK - time.time()
+        self.place.record.add_sent(request)
+        left = request.due + SLACK_S - time.time()
         timer = self.place.reactor.callLater(max(0.0, left), self.due, number)
         self.open[number] = request, timer, doc
 
     def due(self, number: int) -> None:
         request, _, _ = self.open.pop(number)
         self.place.over(request.ref)
-        self.place.record.unanswered(request)
+        self.place.record.add_timeout(request)
 
     def dataReceived(self, data: bytes) -> None:
         self.data += data
@@ -176,7 +176,7 @@
         found = self.open.pop(message.get("id", 0), None)
         if found is None:
             if message.get("id") is None or message["id"] > self.next_id:
-                self.place.record.answered_again(message.get("id"))
+                self.place.record.add_duplicate_answer(message.get("id"))
             return  # one that comes after its time was counted as late
         request, timer, _ = found
         timer.cancel()
@@ -184,7 +184,7 @@
         how = "served" if "result" in message else "failed"
         if how == "failed" and message["error"]["code"] == REFUSED:
             how = "refused"
-        self.place.record.answered(request, how, time.time())
+        self.place.record.add_answer(request, how, time.time())
         if self.batch and not self.open:
             self.transport.loseConnection()
 
@@ -206,7 +206,7 @@
         for request, timer, doc in self.open.values():
             timer.cancel()
             self.place.over(request.ref)
-            if self.place.record.left(request, now, in_order, self.bidden):
+            if self.place.record.add_connection_end(request, now, in_order, self.bidden):
                 crossed.append((request, doc))
         self.open.clear()
         for request, doc in crossed:
--- a/limeridge/trial/soak_record.py
+++ b/limeridge/trial/soak_record.py
@@ -9,10 +9,10 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-SLACK = 0.05  # seconds, of every time limit on sockets
-TOLD_MOST = 12  # faults of one rule that are told whole
-LATE_SHARE = 0.003  # of the requests, from which answers that come late break the rule
-SHORT = 0.02  # seconds: a request with no more left may be dropped without a word
+SLACK_S = 0.05  # seconds, of every time limit on sockets
+MAX_FAULTS_PER_RULE = 12  # faults of one rule that are told whole
+TOLERATED_LATE_SHARE = 0.003  # of the requests, from which answers that come late break the rule
+SHORT_WAIT_S = 0.02  # seconds: a request with no more left may be dropped without a word
 
 
 @dataclass(slots=True, eq=False)
@@ -52,70 +52,72 @@
     runs: dict[str, Request] = field(default_factory=dict)  # by ref: what may run
     begun_by_key: Counter[tuple[int, int, str]] = field(default_factory=Counter)  # instance, life, key
 
-    def asked(self, request: Request) -> None:
+    def add_sent(self, request: Request) -> None:
         """A request was written whole."""
         self.counts["requests"] += 1
         self.runs[request.ref] = request
         if request.sent >= self.notices.get(request.instance, float("inf")):
             self.counts["requests after the notice"] += 1
 
-    def answered(self, request: Request, how: str, now: float) -> None:
+    def add_answer(self, request: Request, outcome: str, now: float) -> None:
         """`how`: served, refused or failed."""
-        self.counts[how] += 1
+        self.counts[outcome] += 1
         if request.sent >= self.notices.get(request.instance, float("inf")):
-            self.counts[f"{how} after the notice"] += 1
-        if now > request.due + SLACK:
-            self._late(request, f"{how} {now - request.due:.3f} s after its due time")
+            self.counts[f"{outcome} after the notice"] += 1
+        if now > request.due + SLACK_S:
+            self._add_late(request, f"{outcome} {now - request.due:.3f} s after its due time")
 
-    def unanswered(self, request: Request) -> None:
+    def add_timeout(self, request: Request) -> None:
         """Its time and the slack are over."""
-        self._late(request, "no answer")
+        self._add_late(request, "no answer")
 
-    def _late(self, request: Request, what: str) -> None:
-        if request.wait <= SHORT:
+    def _add_late(self, request: Request, what: str) -> None:
+        if request.wait <= SHORT_WAIT_S:
             self.counts["late with hardly any time"] += 1
         else:
-            self.fault("late", f"{what}: {request}", soft=True)
+            self.add_fault("late", f"{what}: {request}", soft=True)
 
-    def broken(self) -> list[Fault]:
+    def violations(self) -> list[Fault]:
         """What breaks the rules; a few late answers among many do not."""
-        few_late = self.counts["fault: late"] < LATE_SHARE * self.counts["requests"]
+        few_late = self.counts["fault: late"] < TOLERATED_LATE_SHARE * self.counts["requests"]
         return [each for each in self.faults if each.rule != "late" or not few_late]
 
-    def answered_again(self, number: object) -> None:
+    def add_duplicate_answer(self, number: object) -> None:
         """An answer under an id that is open no more."""
-        self.fault("twice", f"a second answer under id {number}")
+        self.add_fault("twice", f"a second answer under id {number}")
 
-    def left(self, request: Request, now: float, in_order: bool, farewell: bool) -> bool:
+    def add_connection_end(self, request: Request, now: float, in_order: bool, farewell: bool) -> bool:
         """The connection ended without its answer. True where the request only crossed the end, and is to be
         sent once more."""
-        if now - request.sent < SLACK and (in_order or farewell) and not request.crossed:
+        if now - request.sent < SLACK_S and (in_order or farewell) and not request.crossed:
             self.counts["crossed"] += 1
             return True
         after = request.sent - self.notices.get(request.instance, now)
         end = "an end in order" if in_order else "a reset"
-        self.fault(
+        self.add_fault(
             "lost",
             f"{end} {now - request.sent:.3f} s after it was sent, {after:+.3f} s from the notice: {request}",
         )
         return False
 
-    def began(self, instance: int, life: int, ref: str) -> None:
+    def add_run(self, instance: int, life: int, ref: str) -> None:
         """The kernel began a run."""
         request = self.runs.get(ref)
         if request is None:
-            self.fault("unknown run", f"instance {instance} ran {ref}, which nobody asked for")
+            self.add_fault("unknown run", f"instance {instance} ran {ref}, which nobody asked for")
             return
         notice = self.notices.get(instance)
-        if notice is not None and life == 0 and request.sent > notice + self.graces[instance] + SLACK:
-            self.fault("after the grace", f"run, {request.sent - notice:.3f} s after the notice: {request}")
+        if notice is not None and life == 0 and request.sent > notice + self.graces[instance] + SLACK_S:
+            self.add_fault(
+                "after the grace", f"run, {request.sent - notice:.3f} s after the notice: {request}"
+            )
         if request.key:
             self.begun_by_key[instance, life, request.key] += 1
             if self.begun_by_key[instance, life, request.key] > 1:
-                self.fault("key twice", f"a second run of one key: {request}")
+                self.add_fault("key twice", f"a second run of one key: {request}")
 
-    def fault(self, rule: str, what: str, soft: bool = False) -> None:
+    def add_fault(self, rule: str, what: str, soft: bool = False) -> None:
         """Counts each fault, and keeps the first ones whole."""
         self.counts[f"fault: {rule}"] += 1
-        if sum(each.rule == rule for each in self.faults) < TOLD_MOST:
+        if sum(each.rule == rule for each in self.faults) < MAX_FAULTS_PER_RULE:
             self.faults.append(Fault(rule, what, soft))
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -83,39 +83,42 @@
         self.record = soak_record.Record()
         self.request = soak_record.Request("ab", 0, "look", key, 100.0, wait)
         self.record.notices[0], self.record.graces[0] = 99.0, 0.5
-        self.record.asked(self.request)
+        self.record.add_sent(self.request)
 
     def rules(self) -> list[str]:
-        return [each.rule for each in self.record.broken()]
+        return [each.rule for each in self.record.violations()]
 
 
 def test_each_rule_of_the_record_can_be_broken() -> None:
     book = Book()
-    book.record.answered(book.request, "served", 101.04)
+    book.record.add_answer(book.request, "served", 101.04)
     assert not book.rules() and book.record.counts["served after the notice"] == 1
-    book.record.answered(book.request, "served", 101.06)
+    book.record.add_answer(book.request, "served", 101.06)
     assert book.rules() == ["late"]
     for wait, rules in ((1.0, ["late"]), (0.02, [])):  # one with 20 ms left may be dropped without a word
         book = Book(wait)
-        book.record.unanswered(book.request)
+        book.record.add_timeout(book.request)
         assert book.rules() == rules
     book = Book()
-    book.record.answered_again(1)
+    book.record.add_duplicate_answer(1)
     assert book.rules() == ["twice"]
     book = Book()
-    assert book.record.left(book.request, 100.04, in_order=True, farewell=False) and not book.rules()
-    assert not book.record.left(book.request, 100.04, in_order=False, farewell=False)
+    assert (
+        book.record.add_connection_end(book.request, 100.04, in_order=True, farewell=False)
+        and not book.rules()
+    )
+    assert not book.record.add_connection_end(book.request, 100.04, in_order=False, farewell=False)
     assert book.rules() == ["lost"]
     book = Book()
-    assert not book.record.left(book.request, 100.06, in_order=True, farewell=True)
+    assert not book.record.add_connection_end(book.request, 100.06, in_order=True, farewell=True)
     assert book.rules() == ["lost"]
     book = Book(key="k")
-    book.record.began(0, 0, "ab")
+    book.record.add_run(0, 0, "ab")
     assert book.rules() == ["after the grace"]
     book.record.notices.clear()
-    book.record.began(0, 0, "ab")
+    book.record.add_run(0, 0, "ab")
     assert book.rules() == ["after the grace", "key twice"]
-    book.record.began(0, 0, "never asked")
+    book.record.add_run(0, 0, "never asked")
     assert book.rules()[-1] == "unknown run"
 
 
@@ -123,9 +126,9 @@
     book = Book()
     book.record.counts["requests"] = 1_000
     for _ in range(2):
-        book.record.unanswered(book.request)
+        book.record.add_timeout(book.request)
     assert not book.rules()
-    book.record.unanswered(book.request)
+    book.record.add_timeout(book.request)
     assert book.rules() == ["late"] * 3
 
 
