--- a/limeridge/trial/soak.py
+++ b/limeridge/trial/soak.py
@@ -201,9 +201,9 @@
         self.begun = self.reactor.seconds()
         for each in self.plan.instances:
             place = self.place(each)
-            for _ in range(each.steady):
+            for _ in range(each.persistent_clients):
                 self.later(self.chance.random() * 0.5, partial(connect, place, partial(Connection, place, 0)))
-            for _ in range(each.crowd):
+            for _ in range(each.crowd_clients):
                 self.later(
                     each.notice + self.chance.uniform(CROWD_FROM, CROWD_TO), partial(self.crowd, place, each)
                 )
@@ -228,7 +228,7 @@
             self.request_over,
             self.asking,
             self.chance.choice(PACES),
-            self.plan.resets,
+            self.plan.reset_share,
         )
 
     def later(self, at: float, call: Any) -> None:
@@ -329,8 +329,8 @@
         return {
             "seed": self.plan.seed,
             "instances": len(self.plan.instances),
-            "pairs_close": self.plan.pairs(),
-            "crowd": sum(each.crowd for each in self.plan.instances),
+            "pairs_close": self.plan.close_pairs(),
+            "crowd": sum(each.crowd_clients for each in self.plan.instances),
             "quiet": self.plan.quiet,
             "busy": self.busy(),
             "counts": dict(sorted(self.record.counts.items())),
@@ -359,7 +359,7 @@
     asked = parser.parse_args()
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
-    plan = soak_plan.draw(asked.seed, asked.seconds, may_rest=not asked.no_quiet)
+    plan = soak_plan.draw(asked.seed, asked.seconds, allow_quiet=not asked.no_quiet)
     print(orjson.dumps(Soak(plan, asked.code).run()).decode())
 
 
--- a/limeridge/trial/soak_clients.py
+++ b/limeridge/trial/soak_clients.py
@@ -50,7 +50,7 @@
     over: Callable[[str], None]  # hears of each request that was answered or given up
     asking: Callable[[], bool]  # whether clients send now
     pace: float  # requests a second of a connection that is kept
-    resets: float
+    reset_share: float
     serial: int = 0
 
     def request(self) -> tuple[Request, bytes, float]:
@@ -92,7 +92,7 @@
                 self.ask()
         else:
             self.tick()
-            if chance.random() < self.place.resets:
+            if chance.random() < self.place.reset_share:
                 self.place.reactor.callLater(chance.uniform(0.1, 2.0), self.reset)
 
     def tick(self) -> None:
--- a/limeridge/trial/soak_plan.py
+++ b/limeridge/trial/soak_plan.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from itertools import pairwise
 
-SIGNALS_CLOSE = 0.05  # seconds between the signals of a series, at the most
-QUIET = 30.0  # seconds without requests before the trouble, in some lives of the long soak
+MAX_SIGNAL_GAP_S = 0.05  # seconds between the signals of a series, at the most
+QUIET_S = 30.0  # seconds without requests before the trouble, in some lives of the long soak
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,12 +32,12 @@
     stop: float
     grace: float
     sockets: int
-    steady: int  # clients that keep their connections
-    crowd: int  # clients that connect anew once they are answered, round the notice; 0: none
+    persistent_clients: int  # clients that keep their connections
+    crowd_clients: int  # clients that connect anew once they are answered, round the notice; 0: none
     notice: float
     signals: tuple[Signal, ...]  # besides the notice
 
-    def moments(self) -> list[float]:
+    def trouble_times(self) -> list[float]:
         """All moments of trouble, for the pairs that lie close together."""
         return [self.notice, self.notice + self.stop, *(each.at for each in self.signals)]
 
@@ -52,48 +52,52 @@
     instances: tuple[InstancePlan, ...]
     records_down: bool  # the records service refuses connections over the drains
     discovery_down: bool  # nobody hears reports over the drains
-    resets: float  # share of clients' connections that the client resets at a drawn moment
+    reset_share: float  # share of clients' connections that the client resets at a drawn moment
 
     @property
     def last_notice(self) -> float:
         return max(each.notice for each in self.instances)
 
-    def pairs(self) -> int:
+    def close_pairs(self) -> int:
         """Pairs of moments of one instance within 50 ms of each other."""
         count = 0
         for each in self.instances:
-            moments = sorted(each.moments())
-            count += sum(b - a <= SIGNALS_CLOSE for a, b in pairwise(moments))
+            trouble_times = sorted(each.trouble_times())
+            count += sum(b - a <= MAX_SIGNAL_GAP_S for a, b in pairwise(trouble_times))
         return count
 
 
-def draw(seed: int, seconds: float, may_rest: bool = True) -> SoakPlan:
+def draw(seed: int, seconds: float, allow_quiet: bool = True) -> SoakPlan:
     """The same seed and length give the same plan; without `may_rest` no life has a quiet time."""
     chance = random.Random(f"soak/{seed}")
     count = chance.choice((1, 1, 2, 3))
-    begins = [seconds + chance.uniform(0, 0.6) for _ in range(count)]
-    crowded = chance.random() < 0.67
-    instances = tuple(_instance(chance, number, begins[number], crowded, count) for number in range(count))
+    notices = [seconds + chance.uniform(0, 0.6) for _ in range(count)]
+    has_crowd = chance.random() < 0.67
+    instances = tuple(
+        _draw_instance(chance, number, notices[number], has_crowd, count) for number in range(count)
+    )
     return SoakPlan(
         seed=seed,
         seconds=seconds,
-        quiet=QUIET if may_rest and chance.random() < 0.25 else 0.0,
+        quiet=QUIET_S if allow_quiet and chance.random() < 0.25 else 0.0,
         instances=instances,
         records_down=chance.random() < 0.25,
         discovery_down=chance.random() < 0.25,
-        resets=chance.choice((0.0, 0.0, 0.05)),
+        reset_share=chance.choice((0.0, 0.0, 0.05)),
     )
 
 
-def _instance(chance: random.Random, number: int, notice: float, crowded: bool, count: int) -> InstancePlan:
+def _draw_instance(
+    chance: random.Random, number: int, notice: float, has_crowd: bool, count: int
+) -> InstancePlan:
     stop = chance.uniform(0.8, 1.6)
     sockets = chance.choice((96, 256, 512))
-    room = sockets // 2 - 4  # the protocol: half of the descriptors at the most
-    steady = min(room // 2, chance.choice((4, 8, 16)))
+    client_limit = sockets // 2 - 4  # the protocol: half of the descriptors at the most
+    persistent_clients = min(client_limit // 2, chance.choice((4, 8, 16)))
     signals = [Signal(chance.uniform(0.3, notice), "HUP", chance.random() < 0.3) for _ in range(2)]
     for _ in range(chance.randrange(3)):  # a series, close together and close to the notice
-        first = notice + chance.uniform(-SIGNALS_CLOSE, SIGNALS_CLOSE)
-        signals += [Signal(first, "HUP"), Signal(first + chance.uniform(0, SIGNALS_CLOSE), "HUP")]
+        first = notice + chance.uniform(-MAX_SIGNAL_GAP_S, MAX_SIGNAL_GAP_S)
+        signals += [Signal(first, "HUP"), Signal(first + chance.uniform(0, MAX_SIGNAL_GAP_S), "HUP")]
     for _ in range(chance.randrange(4)):
         signals.append(Signal(notice + chance.uniform(0, stop), chance.choice(("TERM", "INT", "HUP"))))
     return InstancePlan(
@@ -101,8 +105,8 @@
         stop=round(stop, 3),
         grace=round(chance.uniform(0.1, 0.4) * stop, 3),
         sockets=sockets,
-        steady=steady,
-        crowd=(room - steady) // count if crowded else 0,
+        persistent_clients=persistent_clients,
+        crowd_clients=(client_limit - persistent_clients) // count if has_crowd else 0,
         notice=notice,
         signals=tuple(sorted(signals, key=lambda each: each.at)),
     )
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -65,15 +65,15 @@
     assert plans[7] == soak_plan.draw(7, 5.0) != plans[8]
     for plan in plans:
         for each in plan.instances:
-            assert each.steady + each.crowd <= each.sockets // 2
+            assert each.persistent_clients + each.crowd_clients <= each.sockets // 2
             assert each.grace < each.stop and each.notice >= plan.seconds
-    assert 0.5 < sum(plan.instances[0].crowd > 0 for plan in plans) / len(plans) < 0.8
+    assert 0.5 < sum(plan.instances[0].crowd_clients > 0 for plan in plans) / len(plans) < 0.8
     assert {len(plan.instances) for plan in plans} == {1, 2, 3}
     assert any(plan.quiet for plan in plans) and not any(
         soak_plan.draw(s, 5.0, False).quiet for s in range(99)
     )
     assert any(signal.half_written for plan in plans for each in plan.instances for signal in each.signals)
-    assert sum(plan.pairs() for plan in plans) > len(plans)
+    assert sum(plan.close_pairs() for plan in plans) > len(plans)
 
 
 class Book:
