--- a/limeridge/trial/soak_plan.py
+++ b/limeridge/trial/soak_plan.py
@@ -1,7 +1,7 @@
-"""What a soak does, drawn from a seed: instances, clients, signals, troubles and when each comes.
+"""The random plan of a soak, drawn from a seed: instances, clients, signals, faults and their times.
 
-It decides nothing of what is judged, reads no clock and opens nothing. Times are seconds from the start of
-the traffic, unless they are said to count from the notice to leave.
+It has no part in the verdict, reads no clock and opens no files or sockets. Times are seconds from the start
+of the traffic unless stated to be relative to the notice to leave.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 from dataclasses import dataclass
 from itertools import pairwise
 
-MAX_SIGNAL_GAP_S = 0.05  # seconds between the signals of a series, at the most
-QUIET_S = 30.0  # seconds without requests before the trouble, in some lives of the long soak
+MAX_SIGNAL_GAP_S = 0.05  # between the signals of a series
+QUIET_S = 30.0  # time without requests before the faults, in some of the long soaks
 
 
 @dataclass(frozen=True, slots=True)
 class Signal:
-    """A signal to one instance; `half_written`: its file is cut in the middle when it comes."""
+    """A signal to one instance. `half_written`: its configuration file is truncated at that time."""
 
     at: float
     name: str  # HUP, TERM, INT
@@ -25,41 +25,41 @@
 
 @dataclass(frozen=True, slots=True)
 class InstancePlan:
-    """One instance and what is done to it. It is killed `stop` seconds after its notice, and its successor
-    starts then."""
+    """One instance and the events that it is exposed to. It is killed `stop` seconds after its notice, and
+    its successor starts then."""
 
     number: int
     stop: float
     grace: float
     sockets: int
-    persistent_clients: int  # clients that keep their connections
-    crowd_clients: int  # clients that connect anew once they are answered, round the notice; 0: none
+    persistent_clients: int  # clients that keep their connections open
+    crowd_clients: int  # clients that reconnect after each batch of answers, around the notice
     notice: float
-    signals: tuple[Signal, ...]  # besides the notice
+    signals: tuple[Signal, ...]  # the notice excluded
 
     def trouble_times(self) -> list[float]:
-        """All moments of trouble, for the pairs that lie close together."""
+        """The times of the notice, the kill and all signals."""
         return [self.notice, self.notice + self.stop, *(each.at for each in self.signals)]
 
 
 @dataclass(frozen=True, slots=True)
 class SoakPlan:
-    """One soak: a life of each instance with its end, and the first moments of its successor."""
+    """One soak: the life of each instance up to its end, and the start of its successor."""
 
     seed: int
     seconds: float  # of traffic before the first notice
     quiet: float  # seconds without requests before that
     instances: tuple[InstancePlan, ...]
-    records_down: bool  # the records service refuses connections over the drains
-    discovery_down: bool  # nobody hears reports over the drains
-    reset_share: float  # share of clients' connections that the client resets at a drawn moment
+    records_down: bool  # the ledger refuses connections during the drains
+    discovery_down: bool  # service discovery ignores reports during the drains
+    reset_share: float  # of the persistent connections; reset by the client at a random time
 
     @property
     def last_notice(self) -> float:
         return max(each.notice for each in self.instances)
 
     def close_pairs(self) -> int:
-        """Pairs of moments of one instance within 50 ms of each other."""
+        """The number of consecutive events at one instance that are at most 50 ms apart."""
         count = 0
         for each in self.instances:
             trouble_times = sorted(each.trouble_times())
@@ -68,7 +68,7 @@
 
 
 def draw(seed: int, seconds: float, allow_quiet: bool = True) -> SoakPlan:
-    """The same seed and length give the same plan; without `may_rest` no life has a quiet time."""
+    """Draws a plan, deterministic for a seed and length. Without `allow_quiet` it has no quiet time."""
     chance = random.Random(f"soak/{seed}")
     count = chance.choice((1, 1, 2, 3))
     notices = [seconds + chance.uniform(0, 0.6) for _ in range(count)]
@@ -92,10 +92,10 @@
 ) -> InstancePlan:
     stop = chance.uniform(0.8, 1.6)
     sockets = chance.choice((96, 256, 512))
-    client_limit = sockets // 2 - 4  # the protocol: half of the descriptors at the most
+    client_limit = sockets // 2 - 4  # the protocol allows connections up to half of the descriptors
     persistent_clients = min(client_limit // 2, chance.choice((4, 8, 16)))
     signals = [Signal(chance.uniform(0.3, notice), "HUP", chance.random() < 0.3) for _ in range(2)]
-    for _ in range(chance.randrange(3)):  # a series, close together and close to the notice
+    for _ in range(chance.randrange(3)):  # close together and close to the notice
         first = notice + chance.uniform(-MAX_SIGNAL_GAP_S, MAX_SIGNAL_GAP_S)
         signals += [Signal(first, "HUP"), Signal(first + chance.uniform(0, MAX_SIGNAL_GAP_S), "HUP")]
     for _ in range(chance.randrange(4)):
