--- a/limeridge/trial/soak.py
+++ b/limeridge/trial/soak.py
@@ -30,7 +30,7 @@
 from limeridge.standins.ledger import Ledger
 from limeridge.standins.nodelist import NodeList
 from limeridge.trial import soak_plan
-from limeridge.trial.soak_clients import Connection, Place, connect
+from limeridge.trial.soak_clients import Connection, Target, connect
 from limeridge.trial.soak_plan import InstancePlan, Signal, SoakPlan
 from limeridge.trial.soak_record import Record
 
@@ -200,12 +200,14 @@
     def traffic(self) -> None:
         self.begun = self.reactor.seconds()
         for each in self.plan.instances:
-            place = self.place(each)
+            target = self.target(each)
             for _ in range(each.persistent_clients):
-                self.later(self.chance.random() * 0.5, partial(connect, place, partial(Connection, place, 0)))
+                self.later(
+                    self.chance.random() * 0.5, partial(connect, target, partial(Connection, target, 0))
+                )
             for _ in range(each.crowd_clients):
                 self.later(
-                    each.notice + self.chance.uniform(CROWD_FROM, CROWD_TO), partial(self.crowd, place, each)
+                    each.notice + self.chance.uniform(CROWD_FROM, CROWD_TO), partial(self.crowd, target, each)
                 )
             for signal in each.signals:
                 self.later(signal.at, partial(self.signal, each, signal))
@@ -216,9 +218,9 @@
         if self.plan.discovery_down:
             self.later(first, lambda: setattr(self.node_list, "datagramReceived", lambda data, addr: None))
 
-    def place(self, plan: InstancePlan) -> Place:
+    def target(self, plan: InstancePlan) -> Target:
         host, _, port = str(self.configs[plan.number]["listen"]).rpartition(":")
-        return Place(
+        return Target(
             self.reactor,
             plan.number,
             (host, int(port)),
@@ -226,7 +228,7 @@
             self.record,
             self.chance,
             self.request_over,
-            self.asking,
+            self.is_sending,
             self.chance.choice(PACES),
             self.plan.reset_share,
         )
@@ -235,7 +237,7 @@
         """At this time of the plan, the quiet time before it."""
         self.reactor.callLater(max(0.0, self.begun + self.plan.quiet + at - self.reactor.seconds()), call)
 
-    def asking(self) -> bool:
+    def is_sending(self) -> bool:
         """Not in the quiet time, but for its first second."""
         passed = self.reactor.seconds() - self.begun
         return bool(passed < 1.0 or passed > self.plan.quiet)
@@ -245,12 +247,12 @@
         for life in self.lives.values():
             life.kernel.cancel_finished_txn(ref)
 
-    def crowd(self, place: Place, plan: InstancePlan) -> None:
+    def crowd(self, target: Target, plan: InstancePlan) -> None:
         """One client of the crowd connects, and anew once it is answered, until nobody listens."""
         notice = self.record.notices.get(plan.number, math.inf)
         if time.time() < notice + min(CROWD_LASTS, plan.stop + AFTER):
             batch = self.chance.choice((1, 2, 4))
-            connect(place, partial(Connection, place, batch, partial(self.crowd, place, plan)))
+            connect(target, partial(Connection, target, batch, partial(self.crowd, target, plan)))
 
     def signal(self, plan: InstancePlan, signal: Signal) -> None:
         life = self.lives[plan.number]
