--- a/limeridge/trial/soak_clients.py
+++ b/limeridge/trial/soak_clients.py
@@ -1,7 +1,7 @@
-"""The clients of a soak: connections that are used until their end, and a crowd that connects anew.
+"""The clients of a soak: persistent connections, and a crowd of clients that reconnect after each batch.
 
-They write requests, also in pieces and slowly, read answers, and tell all of it to the record. They must
-never judge, nor know more of an instance than its address.
+They write requests, some in pieces or slowly, read answers, and add both to the record. They must not judge
+them, nor know more about an instance than its address.
 """
 
 from __future__ import annotations
@@ -24,22 +24,22 @@
 from limeridge.standins.callers import frame
 from limeridge.trial.soak_record import SLACK_S, Record, Request
 
-MAX_OPEN_REQUESTS = 6  # requests that a client has open on one connection
-CLIENT_TIMEOUTS_MS = (20, 60, 400)  # that a client waits, besides a class's whole time
+MAX_OPEN_REQUESTS = 6  # of a persistent connection
+CLIENT_TIMEOUTS_MS = (20, 60, 400)  # drawn in addition to the full expiry of a product
 WORK_US = (500, 2_000, 20_000, 150_000)
-LONG_WORK_US = 2_500_000  # of a run that takes longer than the instance may to stop
+LONG_WORK_US = 2_500_000  # longer than an instance may take to stop
 CALL_US = (1_000, 5_000, 30_000, 300_000)
-SLOW_WRITE_INTERVAL_S = 0.03  # seconds between two pieces of a slow writer
-MIN_SLOW_WRITE_TIMEOUT_S = 0.4  # seconds that a client waits, from which it may write so slowly
+SLOW_WRITE_INTERVAL_S = 0.03  # between two pieces of a slow write
+MIN_SLOW_WRITE_TIMEOUT_S = 0.4  # requests with a shorter timeout are not written slowly
 REFUSED_CODE = -32008
-RECONNECT_DELAY_S = 0.001  # seconds until a client of the crowd connects anew
-KEY_REPEAT_SHARE = 0.3  # share of keyed requests that are sent again under their key
-MAX_KEY_REPEAT_DELAY_S = 0.6  # seconds after the first, at the most
+RECONNECT_DELAY_S = 0.001  # of a client of the crowd
+KEY_REPEAT_SHARE = 0.3  # of keyed requests that are repeated with the same key
+MAX_KEY_REPEAT_DELAY_S = 0.6  # after the first request
 
 
 @dataclass(slots=True)
 class Target:
-    """Where the clients of an instance connect, and what they have in common."""
+    """The instance that clients connect to, and the state that its clients share."""
 
     reactor: Any
     instance: int
@@ -47,14 +47,14 @@
     products: tuple[Product, ...]
     record: Record
     chance: random.Random
-    on_finished: Callable[[str], None]  # hears of each request that was answered or given up
-    is_sending: Callable[[], bool]  # whether clients send now
-    rate: float  # requests a second of a connection that is kept
+    on_finished: Callable[[str], None]  # called with the ref of each answered or abandoned request
+    is_sending: Callable[[], bool]  # False during the quiet time
+    rate: float  # requests per second of a persistent connection
     reset_share: float
     serial: int = 0
 
     def new_request(self) -> tuple[Request, bytes, float]:
-        """A new request, with its body and the seconds for which its key is remembered."""
+        """Returns a new request, its body, and the time in seconds for which its key is kept."""
         chance, product = self.chance, self.chance.choice(self.products)
         self.serial += 1
         work = LONG_WORK_US if chance.random() < 0.01 else chance.choice(WORK_US)
@@ -72,8 +72,11 @@
 
 
 class Connection(Wire):
-    """One connection of a client. `batch`: so many requests at once, then it is closed; 0: it is used up to
-    the farewell, and rests until it is ended."""
+    """One connection of a client.
+
+    With a `batch`, it sends that many requests at once and closes after the answers. With a batch of 0 it
+    sends until the farewell and stays open until the instance closes it.
+    """
 
     transport: Any
 
@@ -116,7 +119,7 @@
             self.target.reactor.callLater(later, self.send_repeat, request, doc)
 
     def send_repeat(self, request: Request, doc: bytes) -> None:
-        """The same key once more, within the time in which it is remembered."""
+        """Sends another request with the same key, while the key is still kept."""
         if (
             not self.is_open
             or self.farewell_received
@@ -129,7 +132,7 @@
         self.send(repeat, doc, resent=True)
 
     def send(self, request: Request, doc: bytes, resent: bool = False) -> None:
-        """Writes the request; it counts from its last byte on."""
+        """Writes the request at once, in two pieces, or slowly. It is recorded after its last byte."""
         self.next_id += 1
         message = frame(orjson.dumps(_request_message(self.next_id, request, doc, resent)))
         draw = self.target.chance.random()
@@ -160,7 +163,7 @@
         self.track_request(number, request, doc)
 
     def track_request(self, number: int, request: Request, doc: bytes) -> None:
-        """Its time runs from when it was begun to be written, as `s` tells."""
+        """Records a request and starts its timeout, which counts from the start of the write (field `s`)."""
         self.target.record.add_sent(request)
         remaining = request.due + SLACK_S - time.time()
         timer = self.target.reactor.callLater(max(0.0, remaining), self.handle_timeout, number)
@@ -190,7 +193,7 @@
         if found is None:
             if message.get("id") is None or message["id"] > self.next_id:
                 self.target.record.add_duplicate_answer(message.get("id"))
-            return  # one that comes after its time was counted as late
+            return  # a late answer: its timeout was recorded
         request, timer, _ = found
         timer.cancel()
         self.target.on_finished(request.ref)
@@ -202,7 +205,7 @@
             self.transport.loseConnection()
 
     def reset(self) -> None:
-        """The client gives up all that is open here."""
+        """Aborts the connection and abandons its open requests."""
         for request, timer, _ in self.open_requests.values():
             timer.cancel()
             self.target.on_finished(request.ref)
@@ -230,7 +233,7 @@
 
 
 class ResendConnection(Connection):
-    """A request that crossed the end of its connection, once more on a new one."""
+    """Resends a request that crossed the end of its connection."""
 
     def __init__(self, target: Target, request: Request, doc: bytes) -> None:
         super().__init__(target, 1)
@@ -253,7 +256,7 @@
 
 
 class ConnectionFactory(ClientFactory):
-    """Opens one connection; a refused one proves that nothing ran."""
+    """Opens one connection. Refused connections are only counted, since no request can have run."""
 
     noisy = False
 
@@ -268,7 +271,7 @@
 
 
 def connect(target: Target, build_connection: Callable[[], Connection]) -> None:
-    """Opens a connection to the place."""
+    """Opens a connection to the target."""
     host, port = target.address
     target.reactor.connectTCP(host, port, ConnectionFactory(target, build_connection), timeout=2)
 
