--- a/limeridge/trial/soak.py
+++ b/limeridge/trial/soak.py
@@ -25,7 +25,7 @@
 from twisted.internet.protocol import ProcessProtocol
 
 from limeridge.sim.plan import Ranges
-from limeridge.sim.plan import draw as draw_site
+from limeridge.sim.plan import draw as draw_base_plan
 from limeridge.standins.kernel import Kernel
 from limeridge.standins.ledger import Ledger
 from limeridge.standins.nodelist import NodeList
@@ -34,15 +34,15 @@
 from limeridge.trial.soak_plan import InstancePlan, Signal, SoakPlan
 from limeridge.trial.soak_record import Record
 
-READY_MOST = 20.0  # seconds until all instances must be ready
-AFTER = 0.8  # seconds of a successor's life, up to its own notice
-SUCCESSOR_STOP = 1.0  # seconds that its own drain is given
-CROWD_FROM, CROWD_TO = -0.3, 0.1  # seconds from the notice, within which the crowd begins
-CROWD_LASTS = 3.0  # seconds after the notice in which it connects anew
-LOOK = 0.02  # seconds between two looks at the processes
-BUSY_WAIT = 0.01  # seconds that one may wait for a core between two looks, or the machine is too busy
-PACES = (15.0, 40.0, 80.0)  # requests a second of a connection
-ALIVE_SLACK = 0.05  # seconds that the rig may take to see that a process has ended
+READY_TIMEOUT_S = 20.0  # seconds until all instances must be ready
+SUCCESSOR_LIFE_S = 0.8  # seconds of a successor's life, up to its own notice
+SUCCESSOR_STOP_S = 1.0  # seconds that its own drain is given
+CROWD_START_MIN_S, CROWD_START_MAX_S = -0.3, 0.1  # seconds from the notice, within which the crowd begins
+CROWD_DURATION_S = 3.0  # seconds after the notice in which it connects anew
+POLL_INTERVAL_S = 0.02  # seconds between two looks at the processes
+MAX_CPU_WAIT_S = 0.01  # seconds that one may wait for a core between two looks, or the machine is too busy
+CLIENT_RATES = (15.0, 40.0, 80.0)  # requests a second of a connection
+EXIT_DETECTION_SLACK_S = 0.05  # seconds that the rig may take to see that a process has ended
 CORES = 2
 
 
@@ -60,7 +60,7 @@
 
     def processEnded(self, reason: Any) -> None:
         """Called by Twisted at its end."""
-        self.life.ended(reason.value.exitCode)
+        self.life.handle_exit(reason.value.exitCode)
 
 
 class Life:
@@ -70,11 +70,11 @@
         self.soak, self.plan, self.number, self.kernel = soak, plan, number, kernel
         self.child = Child(self)
         self.exit_code: int | None = None
-        self.over = self.killed = False
-        self.most_memory_mb = 0.0
-        self.most_descriptors = 0
-        self.waited = 0.0  # seconds for a core, in all
-        self.longest_wait = 0.0  # between two looks
+        self.has_ended = self.killed = False
+        self.max_memory_mb = 0.0
+        self.max_descriptors = 0
+        self.cpu_wait_s = 0.0  # seconds for a core, in all
+        self.max_cpu_wait_s = 0.0  # between two looks
         self.process: Any = None
 
     def start(self, path: Path) -> None:
@@ -87,30 +87,30 @@
         )
 
     def signal(self, name: str) -> None:
-        if not self.over:
+        if not self.has_ended:
             self.soak.record.counts[f"signal {name}"] += 1
             self.process.signalProcess(name)
 
-    def look(self) -> None:
+    def sample(self) -> None:
         """Memory and descriptors of the process, where it is there."""
-        if self.over:
+        if self.has_ended:
             return
         folder = Path(f"/proc/{self.process.pid}")
         try:
             descriptors = len(os.listdir(folder / "fd"))
             status = (folder / "status").read_text()
-            waited = int((folder / "schedstat").read_text().split()[1]) / 1e9
+            cpu_wait_s = int((folder / "schedstat").read_text().split()[1]) / 1e9
         except (OSError, IndexError):
             return
-        self.longest_wait = max(self.longest_wait, waited - self.waited)
-        self.waited = waited
+        self.max_cpu_wait_s = max(self.max_cpu_wait_s, cpu_wait_s - self.cpu_wait_s)
+        self.cpu_wait_s = cpu_wait_s
         peak = next((line for line in status.splitlines() if line.startswith("VmHWM")), "VmHWM: 0 kB")
-        self.most_memory_mb = max(self.most_memory_mb, int(peak.split()[1]) / 1_024)
-        self.most_descriptors = max(self.most_descriptors, descriptors)
+        self.max_memory_mb = max(self.max_memory_mb, int(peak.split()[1]) / 1_024)
+        self.max_descriptors = max(self.max_descriptors, descriptors)
 
-    def ended(self, exit_code: int | None) -> None:
-        self.over, self.exit_code = True, exit_code
-        self.soak.life_over(self)
+    def handle_exit(self, exit_code: int | None) -> None:
+        self.has_ended, self.exit_code = True, exit_code
+        self.soak.handle_life_end(self)
 
 
 class Soak:
@@ -120,15 +120,15 @@
         self.plan, self.code = plan, code
         self.reactor: Any = the_reactor
         self.chance = random.Random(plan.seed * 7 + 1)
-        self.site = draw_site(Ranges(), plan.seed)
+        self.base_plan = draw_base_plan(Ranges(), plan.seed)
         self.record = Record()
-        self.gone: set[str] = set()
+        self.finished_refs: set[str] = set()
         self.ledger = Ledger(self.reactor, self.chance)
         self.node_list = NodeList(self.reactor, delay_s=0.0)
         self.lives: dict[int, Life] = {}
         self.all_lives: list[Life] = []
         self.configs: dict[int, dict[str, Any]] = {}
-        self.begun = 0.0  # of the traffic, by the reactor's clock
+        self.traffic_started_at = 0.0  # of the traffic, by the reactor's clock
         self.records_port: Any = None
         self.folder = Path()
 
@@ -138,7 +138,7 @@
         self.records_port = self.reactor.listenTCP(0, self.ledger, interface=self.host(0))
         listed = self.reactor.listenUDP(0, self.node_list, interface=self.host(0)).getHost().port
         for each in self.plan.instances:
-            self.configs[each.number] = self.site.config(0) | {
+            self.configs[each.number] = self.base_plan.config(0) | {
                 "name": f"n{each.number}",
                 "listen": f"{self.host(each.number + 1)}:{_free_port(self.host(each.number + 1))}",
                 "records": f"{self.host(0)}:{self.records_port.getHost().port}",
@@ -148,25 +148,25 @@
             }
             guarantees = self.configs[each.number]["settings"]["guarantees"]
             guarantees["drainGrace"] = int(each.grace * 1_000_000)
-            self.begin_life(each, 0)
-        self.await_ready(self.reactor.seconds() + READY_MOST)
-        self.look()
+            self.start_life(each, 0)
+        self.await_ready(self.reactor.seconds() + READY_TIMEOUT_S)
+        self.sample()
 
     def host(self, number: int) -> str:
         """A loopback address of this process's own, which nobody else's connections can take."""
         pid = os.getpid()
         return f"127.{128 + (pid >> 16) % 16 * 4 + number}.{pid >> 8 & 255}.{pid & 255 or 255}"
 
-    def begin_life(self, plan: InstancePlan, number: int) -> None:
+    def start_life(self, plan: InstancePlan, number: int) -> None:
         """Starts a process with a kernel of its own: a successor's is cold."""
-        kernel = Kernel(self.reactor, CORES, self.chance, self.gone.__contains__, cold=number > 0)
+        kernel = Kernel(self.reactor, CORES, self.chance, self.finished_refs.__contains__, cold=number > 0)
         start_run = kernel.start_run
 
-        def began(handle: str, doc: bytes) -> None:
+        def record_and_start(handle: str, doc: bytes) -> None:
             self.record.add_run(plan.number, number, handle)
             start_run(handle, doc)
 
-        kernel.start_run = began  # type: ignore[method-assign]
+        kernel.start_run = record_and_start  # type: ignore[method-assign]
         port = self.reactor.listenTCP(0, kernel, interface=self.host(0)).getHost().port
         config = self.configs[plan.number]
         config["kernel"] = f"{self.host(0)}:{port}"
@@ -186,75 +186,80 @@
     def await_ready(self, until: float) -> None:
         names = {f"n{each.number}" for each in self.plan.instances}
         if names <= set(self.node_list.visible_names()):
-            self.traffic()
+            self.start_traffic()
         elif self.reactor.seconds() > until:
             self.record.add_fault(
                 "not ready", f"{sorted(names)}, listed are {self.node_list.visible_names()}"
             )
             self.finish()
         else:
-            self.reactor.callLater(LOOK, self.await_ready, until)
+            self.reactor.callLater(POLL_INTERVAL_S, self.await_ready, until)
 
     # ---- the traffic and the troubles
 
-    def traffic(self) -> None:
-        self.begun = self.reactor.seconds()
+    def start_traffic(self) -> None:
+        self.traffic_started_at = self.reactor.seconds()
         for each in self.plan.instances:
-            target = self.target(each)
+            target = self.target_for(each)
             for _ in range(each.persistent_clients):
-                self.later(
+                self.call_at(
                     self.chance.random() * 0.5, partial(connect, target, partial(Connection, target, 0))
                 )
             for _ in range(each.crowd_clients):
-                self.later(
-                    each.notice + self.chance.uniform(CROWD_FROM, CROWD_TO), partial(self.crowd, target, each)
+                self.call_at(
+                    each.notice + self.chance.uniform(CROWD_START_MIN_S, CROWD_START_MAX_S),
+                    partial(self.connect_crowd_client, target, each),
                 )
             for signal in each.signals:
-                self.later(signal.at, partial(self.signal, each, signal))
-            self.later(each.notice, partial(self.notice, each))
+                self.call_at(signal.at, partial(self.send_signal, each, signal))
+            self.call_at(each.notice, partial(self.send_notice, each))
         first = min(each.notice for each in self.plan.instances)
         if self.plan.records_down:
-            self.later(first, self.records_port.stopListening)
+            self.call_at(first, self.records_port.stopListening)
         if self.plan.discovery_down:
-            self.later(first, lambda: setattr(self.node_list, "datagramReceived", lambda data, addr: None))
+            self.call_at(first, lambda: setattr(self.node_list, "datagramReceived", lambda data, addr: None))
 
-    def target(self, plan: InstancePlan) -> Target:
+    def target_for(self, plan: InstancePlan) -> Target:
         host, _, port = str(self.configs[plan.number]["listen"]).rpartition(":")
         return Target(
             self.reactor,
             plan.number,
             (host, int(port)),
-            self.site.products,
+            self.base_plan.products,
             self.record,
             self.chance,
-            self.request_over,
+            self.finish_request,
             self.is_sending,
-            self.chance.choice(PACES),
+            self.chance.choice(CLIENT_RATES),
             self.plan.reset_share,
         )
 
-    def later(self, at: float, call: Any) -> None:
+    def call_at(self, at: float, call: Any) -> None:
         """At this time of the plan, the quiet time before it."""
-        self.reactor.callLater(max(0.0, self.begun + self.plan.quiet + at - self.reactor.seconds()), call)
+        self.reactor.callLater(
+            max(0.0, self.traffic_started_at + self.plan.quiet + at - self.reactor.seconds()), call
+        )
 
     def is_sending(self) -> bool:
         """Not in the quiet time, but for its first second."""
-        passed = self.reactor.seconds() - self.begun
+        passed = self.reactor.seconds() - self.traffic_started_at
         return bool(passed < 1.0 or passed > self.plan.quiet)
 
-    def request_over(self, ref: str) -> None:
-        self.gone.add(ref)
+    def finish_request(self, ref: str) -> None:
+        self.finished_refs.add(ref)
         for life in self.lives.values():
             life.kernel.cancel_finished_txn(ref)
 
-    def crowd(self, target: Target, plan: InstancePlan) -> None:
+    def connect_crowd_client(self, target: Target, plan: InstancePlan) -> None:
         """One client of the crowd connects, and anew once it is answered, until nobody listens."""
         notice = self.record.notices.get(plan.number, math.inf)
-        if time.time() < notice + min(CROWD_LASTS, plan.stop + AFTER):
+        if time.time() < notice + min(CROWD_DURATION_S, plan.stop + SUCCESSOR_LIFE_S):
             batch = self.chance.choice((1, 2, 4))
-            connect(target, partial(Connection, target, batch, partial(self.crowd, target, plan)))
+            connect(
+                target, partial(Connection, target, batch, partial(self.connect_crowd_client, target, plan))
+            )
 
-    def signal(self, plan: InstancePlan, signal: Signal) -> None:
+    def send_signal(self, plan: InstancePlan, signal: Signal) -> None:
         life = self.lives[plan.number]
         if signal.name != "HUP" and plan.number not in self.record.notices:
             return
@@ -264,7 +269,7 @@
         if life.number == 0:
             life.signal(signal.name)
 
-    def notice(self, plan: InstancePlan) -> None:
+    def send_notice(self, plan: InstancePlan) -> None:
         life = self.lives[plan.number]
         self.record.graces[plan.number] = plan.grace
         self.record.notices[plan.number] = time.time()
@@ -274,29 +279,29 @@
     def kill(self, plan: InstancePlan) -> None:
         """To the millisecond; the successor starts then, whether or not the process was there."""
         life = self.lives[plan.number]
-        if not life.over:
+        if not life.has_ended:
             life.killed = True
             life.signal("KILL")
             self.record.add_fault(
                 "alive at the kill", f"instance {plan.number}, {plan.stop} s after", soft=True
             )
-        self.begin_life(plan, 1)
-        self.reactor.callLater(AFTER + SUCCESSOR_STOP, self.end_successor, plan)
+        self.start_life(plan, 1)
+        self.reactor.callLater(SUCCESSOR_LIFE_S + SUCCESSOR_STOP_S, self.end_successor, plan)
 
     def end_successor(self, plan: InstancePlan) -> None:
         self.record.notices[plan.number] = time.time()
         self.lives[plan.number].signal("TERM")
-        self.reactor.callLater(plan.stop + ALIVE_SLACK, self.lives[plan.number].signal, "KILL")
+        self.reactor.callLater(plan.stop + EXIT_DETECTION_SLACK_S, self.lives[plan.number].signal, "KILL")
 
     # ---- the end
 
-    def look(self) -> None:
+    def sample(self) -> None:
         """What the processes hold, and how long they waited for a core."""
         for life in self.lives.values():
-            life.look()
-        self.reactor.callLater(LOOK, self.look)
+            life.sample()
+        self.reactor.callLater(POLL_INTERVAL_S, self.sample)
 
-    def life_over(self, life: Life) -> None:
+    def handle_life_end(self, life: Life) -> None:
         kind = "killed" if life.killed else f"exit {life.exit_code}"
         self.record.counts[f"lives ended by {kind}"] += 1
         if not life.killed and life.exit_code != 0:
@@ -304,23 +309,25 @@
             self.record.add_fault("exit", f"instance {life.plan.number} ended with {life.exit_code}", soft)
         if b'"trace"' in life.child.log or b"Traceback" in life.child.log:
             self.record.add_fault("trace", life.child.log.decode(errors="replace")[-1_500:])
-        if life.most_descriptors > life.plan.sockets:
-            self.record.add_fault("descriptors", f"{life.most_descriptors} of {life.plan.sockets}")
-        if life.most_memory_mb > 64:
-            self.record.add_fault("memory", f"{life.most_memory_mb:.0f} MB of 64")
-        if len(self.all_lives) == 2 * len(self.plan.instances) and all(each.over for each in self.all_lives):
+        if life.max_descriptors > life.plan.sockets:
+            self.record.add_fault("descriptors", f"{life.max_descriptors} of {life.plan.sockets}")
+        if life.max_memory_mb > 64:
+            self.record.add_fault("memory", f"{life.max_memory_mb:.0f} MB of 64")
+        if len(self.all_lives) == 2 * len(self.plan.instances) and all(
+            each.has_ended for each in self.all_lives
+        ):
             self.reactor.callLater(0.1, self.finish)
 
     def finish(self) -> None:
         for life in self.lives.values():
-            if not life.over:
+            if not life.has_ended:
                 life.killed = True
                 life.process.signalProcess("KILL")
         self.reactor.callLater(0.1, self.reactor.stop)
 
-    def busy(self) -> bool:
+    def is_overloaded(self) -> bool:
         """Whether an instance had to wait too long for a core for a verdict on matters of time."""
-        return any(each.longest_wait > BUSY_WAIT for each in self.all_lives)
+        return any(each.max_cpu_wait_s > MAX_CPU_WAIT_S for each in self.all_lives)
 
     def run(self) -> dict[str, Any]:
         """Plays it; what came of it, as JSON has it."""
@@ -334,11 +341,11 @@
             "pairs_close": self.plan.close_pairs(),
             "crowd": sum(each.crowd_clients for each in self.plan.instances),
             "quiet": self.plan.quiet,
-            "busy": self.busy(),
+            "busy": self.is_overloaded(),
             "counts": dict(sorted(self.record.counts.items())),
-            "most_memory_mb": round(max(each.most_memory_mb for each in self.all_lives), 1),
-            "most_descriptors": max(each.most_descriptors for each in self.all_lives),
-            "longest_wait": round(max(each.longest_wait for each in self.all_lives), 3),
+            "most_memory_mb": round(max(each.max_memory_mb for each in self.all_lives), 1),
+            "most_descriptors": max(each.max_descriptors for each in self.all_lives),
+            "longest_wait": round(max(each.max_cpu_wait_s for each in self.all_lives), 3),
             "faults": [
                 {"rule": each.rule, "what": each.what, "soft": each.soft} for each in self.record.violations()
             ],
@@ -358,11 +365,11 @@
     parser.add_argument("seconds", type=float)
     parser.add_argument("--no-quiet", action="store_true", help="no life with a quiet time")
     parser.add_argument("--code", default="", help="a checkout whose instance is taken")
-    asked = parser.parse_args()
+    arguments = parser.parse_args()
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
-    plan = soak_plan.draw(asked.seed, asked.seconds, allow_quiet=not asked.no_quiet)
-    print(orjson.dumps(Soak(plan, asked.code).run()).decode())
+    plan = soak_plan.draw(arguments.seed, arguments.seconds, allow_quiet=not arguments.no_quiet)
+    print(orjson.dumps(Soak(plan, arguments.code).run()).decode())
 
 
 if __name__ == "__main__":
