--- a/limeridge/trial/soak.py
+++ b/limeridge/trial/soak.py
@@ -1,8 +1,10 @@
-"""`python -m limeridge.trial.soak SEED SECONDS [--no-quiet] [--code FOLDER]`: one soak, as a line of JSON.
+"""`python -m limeridge.trial.soak SEED SECONDS [--no-quiet] [--code FOLDER]`: one soak, reported as a line of
+JSON.
 
-One to three real instances on loopback sockets with real stand-ins, each with its notice, its kill and its
-successor, and clients round them. It owns the processes and the sockets, ends by itself and opens nothing off
-loopback. What is drawn is decided in `soak_plan`, what is judged in `soak_record`.
+Runs one to three real instances with fakes of their services and with clients, all on loopback sockets. Each
+instance gets a notice to leave, is killed and has a successor. This module owns the processes and sockets,
+ends by itself and opens no sockets other than on loopback. `soak_plan` draws the plan, `soak_record` holds
+the rules.
 """
 
 from __future__ import annotations
@@ -34,37 +36,37 @@
 from limeridge.trial.soak_plan import InstancePlan, Signal, SoakPlan
 from limeridge.trial.soak_record import Record
 
-READY_TIMEOUT_S = 20.0  # seconds until all instances must be ready
-SUCCESSOR_LIFE_S = 0.8  # seconds of a successor's life, up to its own notice
-SUCCESSOR_STOP_S = 1.0  # seconds that its own drain is given
-CROWD_START_MIN_S, CROWD_START_MAX_S = -0.3, 0.1  # seconds from the notice, within which the crowd begins
-CROWD_DURATION_S = 3.0  # seconds after the notice in which it connects anew
-POLL_INTERVAL_S = 0.02  # seconds between two looks at the processes
-MAX_CPU_WAIT_S = 0.01  # seconds that one may wait for a core between two looks, or the machine is too busy
-CLIENT_RATES = (15.0, 40.0, 80.0)  # requests a second of a connection
-EXIT_DETECTION_SLACK_S = 0.05  # seconds that the rig may take to see that a process has ended
+READY_TIMEOUT_S = 20.0  # for all instances
+SUCCESSOR_LIFE_S = 0.8  # from a successor's start to its own notice
+SUCCESSOR_STOP_S = 1.0  # for the drain of a successor
+CROWD_START_MIN_S, CROWD_START_MAX_S = -0.3, 0.1  # relative to the notice
+CROWD_DURATION_S = 3.0  # after the notice; the crowd reconnects until then
+POLL_INTERVAL_S = 0.02
+MAX_CPU_WAIT_S = 0.01  # for a core between two samples; longer waits mean an overloaded machine
+CLIENT_RATES = (15.0, 40.0, 80.0)  # requests per second of a persistent connection
+EXIT_DETECTION_SLACK_S = 0.05  # for this process to notice the exit of an instance
 CORES = 2
 
 
 class Child(ProcessProtocol):
-    """One process of an instance; keeps its log."""
+    """One process of an instance; collects its log."""
 
     def __init__(self, life: Life) -> None:
         self.life, self.log = life, b""
 
     def outReceived(self, data: bytes) -> None:
-        """Called by Twisted with what it wrote to its standard output."""
+        """Called by Twisted with data from standard output."""
         self.log += data
 
     errReceived = outReceived  # noqa: N815 - Twisted's name
 
     def processEnded(self, reason: Any) -> None:
-        """Called by Twisted at its end."""
+        """Called by Twisted when the process ends."""
         self.life.handle_exit(reason.value.exitCode)
 
 
 class Life:
-    """One life of one instance, from its start to its end."""
+    """One process of an instance, from start to exit. `number` is 0, or 1 for the successor."""
 
     def __init__(self, soak: Soak, plan: InstancePlan, number: int, kernel: Kernel) -> None:
         self.soak, self.plan, self.number, self.kernel = soak, plan, number, kernel
@@ -73,8 +75,8 @@
         self.has_ended = self.killed = False
         self.max_memory_mb = 0.0
         self.max_descriptors = 0
-        self.cpu_wait_s = 0.0  # seconds for a core, in all
-        self.max_cpu_wait_s = 0.0  # between two looks
+        self.cpu_wait_s = 0.0  # total wait for a core
+        self.max_cpu_wait_s = 0.0  # longest wait between two samples
         self.process: Any = None
 
     def start(self, path: Path) -> None:
@@ -83,7 +85,7 @@
             sys.executable,
             [sys.executable, "-m", "limeridge"],
             env=os.environ | {"BALANCER_CONFIG": str(path)},
-            path=self.soak.code or None,  # the folder comes first on the way to its modules
+            path=self.soak.code or None,  # the working directory comes first in the module search path
         )
 
     def signal(self, name: str) -> None:
@@ -92,7 +94,7 @@
             self.process.signalProcess(name)
 
     def sample(self) -> None:
-        """Memory and descriptors of the process, where it is there."""
+        """Samples the memory, descriptors and core waits of the process while it exists."""
         if self.has_ended:
             return
         folder = Path(f"/proc/{self.process.pid}")
@@ -114,7 +116,7 @@
 
 
 class Soak:
-    """One soak, from its first start to its verdict."""
+    """One soak, from the first start of an instance to the report."""
 
     def __init__(self, plan: SoakPlan, code: str = "") -> None:
         self.plan, self.code = plan, code
@@ -128,11 +130,11 @@
         self.lives: dict[int, Life] = {}
         self.all_lives: list[Life] = []
         self.configs: dict[int, dict[str, Any]] = {}
-        self.traffic_started_at = 0.0  # of the traffic, by the reactor's clock
+        self.traffic_started_at = 0.0  # on the reactor's clock
         self.records_port: Any = None
         self.folder = Path()
 
-    # ---- the stand-ins and the processes
+    # ---- services and processes
 
     def start(self) -> None:
         self.records_port = self.reactor.listenTCP(0, self.ledger, interface=self.host(0))
@@ -153,12 +155,12 @@
         self.sample()
 
     def host(self, number: int) -> str:
-        """A loopback address of this process's own, which nobody else's connections can take."""
+        """A loopback address derived from the process id, so that other processes do not take its ports."""
         pid = os.getpid()
         return f"127.{128 + (pid >> 16) % 16 * 4 + number}.{pid >> 8 & 255}.{pid & 255 or 255}"
 
     def start_life(self, plan: InstancePlan, number: int) -> None:
-        """Starts a process with a kernel of its own: a successor's is cold."""
+        """Starts a process with a kernel of its own. The kernel of a successor is cold."""
         kernel = Kernel(self.reactor, CORES, self.chance, self.finished_refs.__contains__, cold=number > 0)
         start_run = kernel.start_run
 
@@ -188,14 +190,12 @@
         if names <= set(self.node_list.visible_names()):
             self.start_traffic()
         elif self.reactor.seconds() > until:
-            self.record.add_fault(
-                "not ready", f"{sorted(names)}, listed are {self.node_list.visible_names()}"
-            )
+            self.record.add_fault("not ready", f"{sorted(names)}, listed: {self.node_list.visible_names()}")
             self.finish()
         else:
             self.reactor.callLater(POLL_INTERVAL_S, self.await_ready, until)
 
-    # ---- the traffic and the troubles
+    # ---- traffic and faults
 
     def start_traffic(self) -> None:
         self.traffic_started_at = self.reactor.seconds()
@@ -235,13 +235,13 @@
         )
 
     def call_at(self, at: float, call: Any) -> None:
-        """At this time of the plan, the quiet time before it."""
+        """Schedules a call at a time of the plan, which the quiet time precedes."""
         self.reactor.callLater(
             max(0.0, self.traffic_started_at + self.plan.quiet + at - self.reactor.seconds()), call
         )
 
     def is_sending(self) -> bool:
-        """Not in the quiet time, but for its first second."""
+        """False during the quiet time, except for its first second."""
         passed = self.reactor.seconds() - self.traffic_started_at
         return bool(passed < 1.0 or passed > self.plan.quiet)
 
@@ -251,7 +251,7 @@
             life.kernel.cancel_finished_txn(ref)
 
     def connect_crowd_client(self, target: Target, plan: InstancePlan) -> None:
-        """One client of the crowd connects, and anew once it is answered, until nobody listens."""
+        """Connects a client of the crowd, and again after each batch, until some time after the notice."""
         notice = self.record.notices.get(plan.number, math.inf)
         if time.time() < notice + min(CROWD_DURATION_S, plan.stop + SUCCESSOR_LIFE_S):
             batch = self.chance.choice((1, 2, 4))
@@ -277,7 +277,7 @@
         self.reactor.callLater(plan.stop, self.kill, plan)
 
     def kill(self, plan: InstancePlan) -> None:
-        """To the millisecond; the successor starts then, whether or not the process was there."""
+        """Kills the process if it still runs, which is a fault. Starts the successor in any case."""
         life = self.lives[plan.number]
         if not life.has_ended:
             life.killed = True
@@ -293,10 +293,10 @@
         self.lives[plan.number].signal("TERM")
         self.reactor.callLater(plan.stop + EXIT_DETECTION_SLACK_S, self.lives[plan.number].signal, "KILL")
 
-    # ---- the end
+    # ---- end
 
     def sample(self) -> None:
-        """What the processes hold, and how long they waited for a core."""
+        """Samples all current processes periodically."""
         for life in self.lives.values():
             life.sample()
         self.reactor.callLater(POLL_INTERVAL_S, self.sample)
@@ -305,7 +305,7 @@
         kind = "killed" if life.killed else f"exit {life.exit_code}"
         self.record.counts[f"lives ended by {kind}"] += 1
         if not life.killed and life.exit_code != 0:
-            soft = life.exit_code is None and life.number == 1  # the rig's kill of a successor that drains
+            soft = life.exit_code is None and life.number == 1  # killed by end_successor while draining
             self.record.add_fault("exit", f"instance {life.plan.number} ended with {life.exit_code}", soft)
         if b'"trace"' in life.child.log or b"Traceback" in life.child.log:
             self.record.add_fault("trace", life.child.log.decode(errors="replace")[-1_500:])
@@ -326,11 +326,11 @@
         self.reactor.callLater(0.1, self.reactor.stop)
 
     def is_overloaded(self) -> bool:
-        """Whether an instance had to wait too long for a core for a verdict on matters of time."""
+        """Whether an instance waited so long for a core that timing faults prove nothing."""
         return any(each.max_cpu_wait_s > MAX_CPU_WAIT_S for each in self.all_lives)
 
     def run(self) -> dict[str, Any]:
-        """Plays it; what came of it, as JSON has it."""
+        """Runs the soak and returns its report as JSON-compatible data."""
         with tempfile.TemporaryDirectory() as folder:
             self.folder = Path(folder)
             self.reactor.callWhenRunning(self.start)
@@ -359,12 +359,12 @@
 
 
 def main() -> None:
-    """Plays one soak and prints its verdict."""
+    """Runs one soak and prints its report."""
     parser = argparse.ArgumentParser("python -m limeridge.trial.soak", description=__doc__)
     parser.add_argument("seed", type=int)
     parser.add_argument("seconds", type=float)
-    parser.add_argument("--no-quiet", action="store_true", help="no life with a quiet time")
-    parser.add_argument("--code", default="", help="a checkout whose instance is taken")
+    parser.add_argument("--no-quiet", action="store_true", help="never plan a quiet time")
+    parser.add_argument("--code", default="", help="a checkout to run the instances from")
     arguments = parser.parse_args()
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
