--- a/limeridge/cli/trial.py
+++ b/limeridge/cli/trial.py
@@ -319,13 +319,15 @@
             reports.append(report)
             if not as_json:
                 soak_told(report)
-    seldom = soak_table.too_little(reports)
+    seldom = soak_table.insufficient_counts(reports)
     verdicts = [soak_table.verdict(report) for report in reports]
     if as_json:
         click.echo(orjson.dumps({"reports": reports, "too_little": seldom}))
     else:
         click.echo(
-            "\n".join(["", *soak_table.lines(reports), *(f"met too little: {each}" for each in seldom)])
+            "\n".join(
+                ["", *soak_table.markdown_table(reports), *(f"met too little: {each}" for each in seldom)]
+            )
         )
     broke = "broke" in verdicts or bool(seldom)
     raise click.exceptions.Exit(1 if broke else BUSY if "machine too busy" in verdicts else 0)
--- a/limeridge/trial/soak_table.py
+++ b/limeridge/trial/soak_table.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterator, Sequence
 from typing import Any
 
-LEAST_A_SOAK = {  # in the mean over all soaks of a set
+MIN_MEAN_COUNTS = {  # in the mean over all soaks of a set
     "requests": 200,
     "requests after the notice": 20,
     "served": 10,
@@ -32,7 +32,7 @@
     return "held"
 
 
-def met(reports: Sequence[dict[str, Any]]) -> Counter[str]:
+def total_counts(reports: Sequence[dict[str, Any]]) -> Counter[str]:
     """What all soaks met, added up."""
     total: Counter[str] = Counter()
     for each in reports:
@@ -44,17 +44,17 @@
     return total
 
 
-def too_little(reports: Sequence[dict[str, Any]]) -> list[str]:
+def insufficient_counts(reports: Sequence[dict[str, Any]]) -> list[str]:
     """What was met too seldom to show anything, a line each."""
-    total = met(reports)
+    total = total_counts(reports)
     return [
-        f"{what}: {total[what]} in {len(reports)} soaks, {least:g} each are the least"
-        for what, least in LEAST_A_SOAK.items()
-        if total[what] < least * len(reports)
+        f"{name}: {total[name]} in {len(reports)} soaks, {minimum:g} each are the minimum"
+        for name, minimum in MIN_MEAN_COUNTS.items()
+        if total[name] < minimum * len(reports)
     ]
 
 
-def lines(reports: Sequence[dict[str, Any]]) -> Iterator[str]:
+def markdown_table(reports: Sequence[dict[str, Any]]) -> Iterator[str]:
     """The table of a set, in Markdown: verdicts, then what was met."""
     verdicts = Counter(verdict(each) for each in reports)
     yield "| soaks | held | broke | machine too busy |"
@@ -63,7 +63,7 @@
     yield ""
     yield "| met | count |"
     yield "| --- | --- |"
-    for what, count in sorted(met(reports).items()):
-        yield f"| {what} | {count:,} |"
+    for name, count in sorted(total_counts(reports).items()):
+        yield f"| {name} | {count:,} |"
     yield f"| most memory, MB | {max(each['most_memory_mb'] for each in reports):g} |"
     yield f"| most descriptors of one process | {max(each['most_descriptors'] for each in reports)} |"
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -32,7 +32,7 @@
         hard = [f"{fault['rule']}: {fault['what']}" for fault in report["faults"] if not fault["soft"]]
         assert not hard, f"seed {report['seed']}: {hard}"
         print(f"seed {report['seed']}: {soak_table.verdict(report)}, {len(soft)} matters of time")
-    assert not soak_table.too_little(reports)
+    assert not soak_table.insufficient_counts(reports)
 
 
 def test_a_soak_that_met_nothing_is_seen_as_that() -> None:
@@ -48,7 +48,7 @@
         "most_descriptors": 1,
     }
     assert soak_table.verdict(nothing) == "held"
-    assert len(soak_table.too_little([nothing])) == len(soak_table.LEAST_A_SOAK)
+    assert len(soak_table.insufficient_counts([nothing])) == len(soak_table.MIN_MEAN_COUNTS)
     late = {"rule": "late", "what": "", "soft": True}
     lost = {"rule": "lost", "what": "", "soft": False}
     for faults, busy, verdict in (
@@ -57,7 +57,7 @@
         ([late, lost], True, "broke"),
     ):
         assert soak_table.verdict(nothing | {"faults": faults, "busy": busy}) == verdict
-    assert any("| 1 | 1 | 0 | 0 |" in line for line in soak_table.lines([nothing]))
+    assert any("| 1 | 1 | 0 | 0 |" in line for line in soak_table.markdown_table([nothing]))
 
 
 def test_a_plan_is_the_seed_s_and_keeps_to_the_protocol() -> None:
