--- a/limeridge/trial/soak_table.py
+++ b/limeridge/trial/soak_table.py
@@ -1,7 +1,7 @@
-"""What many soaks came to: one verdict a soak, what all of them met, and whether that is enough.
+"""The summary of a set of soaks: a verdict for each, event counts over all, and whether these suffice.
 
-A soak that met nothing shows nothing, so a set of them fails below the counts that are stated here. It
-decides on reports alone.
+A soak in which too little happens proves nothing, so a set fails if its counts are below the minimums stated
+here. The only input is the reports.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from collections.abc import Iterator, Sequence
 from typing import Any
 
-MIN_MEAN_COUNTS = {  # in the mean over all soaks of a set
+MIN_MEAN_COUNTS = {  # per soak, averaged over a set
     "requests": 200,
     "requests after the notice": 20,
     "served": 10,
@@ -23,7 +23,7 @@
 
 
 def verdict(report: dict[str, Any]) -> str:
-    """`held`, `broke`, or `machine too busy` where only matters of time are at fault and it was."""
+    """`held`, `broke`, or `machine too busy` if all faults concern timing and the machine was overloaded."""
     faults = report["faults"]
     if any(not each["soft"] for each in faults):
         return "broke"
@@ -33,7 +33,7 @@
 
 
 def total_counts(reports: Sequence[dict[str, Any]]) -> Counter[str]:
-    """What all soaks met, added up."""
+    """Event counts, summed over all soaks."""
     total: Counter[str] = Counter()
     for each in reports:
         total.update(each["counts"])
@@ -45,7 +45,7 @@
 
 
 def insufficient_counts(reports: Sequence[dict[str, Any]]) -> list[str]:
-    """What was met too seldom to show anything, a line each."""
+    """One line for each count that is below its minimum."""
     total = total_counts(reports)
     return [
         f"{name}: {total[name]} in {len(reports)} soaks, {minimum:g} each are the minimum"
@@ -55,7 +55,7 @@
 
 
 def markdown_table(reports: Sequence[dict[str, Any]]) -> Iterator[str]:
-    """The table of a set, in Markdown: verdicts, then what was met."""
+    """The summary of a set as Markdown tables: verdicts, then event counts."""
     verdicts = Counter(verdict(each) for each in reports)
     yield "| soaks | held | broke | machine too busy |"
     yield "| --- | --- | --- | --- |"
