--- a/limeridge/cli/trial.py
+++ b/limeridge/cli/trial.py
@@ -149,7 +149,7 @@
 
     for kind in world.passed_over(plan):
         click.echo(f"passed over, for this world has none of it: {kind}", err=True)
-    return world.run(plan).plain()
+    return world.run(plan).as_dict()
 
 
 def real(plan: scenario.Trial, nodes: int, out: Path | None, lane: int) -> dict[str, Any]:
--- a/limeridge/trial/rig.py
+++ b/limeridge/trial/rig.py
@@ -423,7 +423,7 @@
         )
         if shown and self.zero:
             self.record.looks.append(
-                judge.Look(
+                judge.FleetSample(
                     self.now(),
                     {
                         number: frozenset(
@@ -543,7 +543,7 @@
                 if told.get("event") == "peer":
                     at = int((told["t"] - self.zero) * 1e6)
                     peer = int(told["peer"].removeprefix("n"))
-                    self.record.lines.append(judge.Line(at, number, told["code"], peer, told["life"]))
+                    self.record.lines.append(judge.GradeChange(at, number, told["code"], peer, told["life"]))
         self.record.lines.sort(key=lambda line: line.at)
 
 
@@ -560,7 +560,7 @@
     folder.mkdir(parents=True, exist_ok=True)
     rig = Rig(trial, folder, lane)
     verdict = rig.run()
-    (folder / "verdict.json").write_bytes(orjson.dumps(verdict.plain(), option=orjson.OPT_INDENT_2))
+    (folder / "verdict.json").write_bytes(orjson.dumps(verdict.as_dict(), option=orjson.OPT_INDENT_2))
     looks = [{"at": look.at, "calls": sum(look.calls.values())} for look in rig.record.looks]
     lines = [
         {"at": line.at, "watcher": line.watcher, "code": line.code, "peer": line.peer}
@@ -569,7 +569,7 @@
     (folder / "record.json").write_bytes(
         orjson.dumps({"looks": looks, "lines": lines, "in_hand": rig.record.in_hand})
     )
-    print(orjson.dumps(verdict.plain()).decode())
+    print(orjson.dumps(verdict.as_dict()).decode())
 
 
 if __name__ == "__main__":
--- a/limeridge/trial/virtual.py
+++ b/limeridge/trial/virtual.py
@@ -89,14 +89,14 @@
                 gone = claim.state >= State.DEAD
                 if gone and not self.held.get(key):
                     self.record.lines.append(
-                        judge.Line(at, process.number, "gone", key[1], claim.life.number)
+                        judge.GradeChange(at, process.number, "gone", key[1], claim.life.number)
                     )
                 self.held[key] = gone
         if fleet.verdict.most_in_hand != self.most:
             self.most = fleet.verdict.most_in_hand
             self.record.in_hand.append((at, self.most))
         self.record.looks.append(
-            judge.Look(
+            judge.FleetSample(
                 at,
                 {
                     each.number: frozenset((c.name, c.life.number) for c in each.peer.members.present())
