--- a/limeridge/trial/judge.py
+++ b/limeridge/trial/judge.py
@@ -1,7 +1,7 @@
-"""What a trial came to, from what the processes did: lives and ends that the rig saw, log lines with their
-times, the ledger's own count, callers' answers, and what members showed.
+"""Derives the verdict of a trial from its record: process starts and exits, membership log lines, the
+ledger's count of calls, the outcomes at callers, and the state that members reported.
 
-It owns the rules and their figures. It must never ask anything: it gets a record and gives a verdict.
+It owns the rules and their figures. It must not query anything: its only input is the record.
 """
 
 from __future__ import annotations
@@ -12,36 +12,37 @@
 
 from limeridge.trial.scenario import BLURS, Act, Trial
 
-FAULT_EFFECT_US = 8_000_000  # after a fault of links in which a member may still be held dead for it
-MIN_USED_SHARE = 0.95  # of what can be dealt out
+FAULT_EFFECT_US = 8_000_000  # after a network fault, deaths declared within this time may be due to it
+MIN_USED_SHARE = 0.95  # of the calls that can be shared out
 
 
 @dataclass(slots=True)
 class Life:
-    """One process of a name. Microseconds since the end of the warm-up; `end` None while it lives."""
+    """One process of a member. Times are microseconds since the end of the warm-up; `end` is None while it
+    runs."""
 
     number: int
     start: int
     end: int | None = None
-    told: bool = False  # it was told to leave
-    double: bool = False
+    told: bool = False  # whether it received the notice to leave
+    double: bool = False  # a second process under the name of a running one
 
 
 @dataclass(slots=True)
 class GradeChange:
-    """A change of grade, as a member logged it."""
+    """A change of a peer's grade, as logged by a member."""
 
     at: int
     watcher: int
     code: str
     peer: int
-    life: int  # the number of the life that it is about
+    life: int  # number of the peer's life that the change refers to
 
 
 @dataclass(slots=True)
 class FleetSample:
-    """What all members showed at one time, by number: those it holds present with their lives, its own
-    life, calls of its share."""
+    """The state reported by all members at one time, by member number: the members it considers present
+    with their lives, its own life, and the calls of its share."""
 
     at: int
     present: dict[int, frozenset[tuple[str, int]]]
@@ -52,25 +53,25 @@
 
 @dataclass(slots=True)
 class Record:
-    """What a trial saw, for the judge. Times in microseconds since the end of the warm-up."""
+    """The record of a trial. Times are microseconds since the end of the warm-up."""
 
     lives: list[Life] = field(default_factory=list)
     lines: list[GradeChange] = field(default_factory=list)
     looks: list[FleetSample] = field(default_factory=list)
-    in_hand: list[tuple[int, int]] = field(default_factory=list)  # at each rise of the ledger's count
-    states: dict[str, int] = field(default_factory=dict)  # of callers' txns
+    in_hand: list[tuple[int, int]] = field(default_factory=list)  # time and count of the ledger's open calls
+    states: dict[str, int] = field(default_factory=dict)  # count of callers' txns by state
     crashes: list[str] = field(default_factory=list)
     exceptions: int = 0
-    lateness: int = 0  # microseconds, of the rig's own timer, at the worst
+    lateness: int = 0  # maximum delay of the rig's own timer, in microseconds
     end: int = 0
-    processor: list[float] = field(default_factory=list)  # of each process at the end, cores
-    memory: list[float] = field(default_factory=list)  # and the most it took, MB
+    processor: list[float] = field(default_factory=list)  # cores used by each process, at the end
+    memory: list[float] = field(default_factory=list)  # peak of each process, in MB
 
 
 @dataclass(slots=True)
 class Verdict:
-    """What a trial came to; `broke` lists the rules that did not hold, `busy` says that the machine was
-    too slow for its times to count."""
+    """The verdict of a trial. `broke` lists the violated rules; `busy` means that the machine was too slow
+    for the times to be valid."""
 
     trial: str
     seed: int
@@ -83,28 +84,28 @@
     used_ms: int | None = None
     most_in_hand: int = 0
     limit: int = 0
-    dealt_before: float = 0.0  # share of the limit, in the mean
+    dealt_before: float = 0.0  # mean share of the limit that was allotted
     dealt_during: float = 0.0
     dealt_after: float = 0.0
     unanswered: int = 0
     states: dict[str, int] = field(default_factory=dict)
     exceptions: int = 0
     lateness_ms: int = 0
-    processor: float = 0.0  # cores of one process, the median
+    processor: float = 0.0  # cores used by a process, median
     memory_mb: float = 0.0
 
     def as_dict(self) -> dict[str, Any]:
-        """As JSON has it."""
+        """The verdict as JSON-compatible data."""
         return asdict(self)
 
 
-# Microseconds: past that, times say more of the machine than of the program. Probes wait for 90 ms; a
-# machine on which the rig itself is a quarter of a second late makes members miss each other's answers.
+# Beyond this, measured times reflect the machine rather than the program. Probes time out after 90 ms, so
+# on a machine where the rig's own timer is 250 ms late, members miss each other's answers.
 MAX_LATENESS_US = 250_000
 
 
 def judge(trial: Trial, record: Record) -> Verdict:
-    """The verdict on a record, by the rules that always hold and those that the trial expects."""
+    """Checks the rules that apply to every trial and the expectations of this one."""
     verdict = Verdict(
         trial.name,
         trial.seed,
@@ -132,18 +133,18 @@
 
 
 def _check_limit(trial: Trial, record: Record, verdict: Verdict) -> None:
-    """The one rule that is always judged: the ledger never holds more calls than the fleet's limit."""
+    """Checks the rule of every trial: the ledger never has more calls in progress than the fleet's limit."""
     verdict.most_in_hand = max((count for _, count in record.in_hand), default=0)
     if verdict.most_in_hand > trial.terms.limit:
         at = next(at for at, count in record.in_hand if count > trial.terms.limit)
         verdict.broke.append(
-            f"limit: {verdict.most_in_hand} calls in the ledger's hands, the limit is "
+            f"limit: {verdict.most_in_hand} calls in progress at the ledger, the limit is "
             f"{trial.terms.limit}, first at {at / 1e6:.3f} s"
         )
 
 
 def _check_deaths(trial: Trial, record: Record, verdict: Verdict) -> None:
-    """Whether the dead were held dead in time, and how many of the living were held dead."""
+    """Checks that ended processes were detected in time, and counts running ones that were declared dead."""
     for life in record.lives:
         if life.end is None or life.told or life.double or life.end < 0:
             continue
@@ -155,7 +156,7 @@
 
 
 def _check_detection(trial: Trial, record: Record, life: Life, end: int, verdict: Verdict) -> None:
-    """When those who could hear of the end of `life`, at `end` microseconds, held it gone."""
+    """Checks when the members that could detect the end of `life`, at `end`, declared it gone."""
     successor_start = _successor_start(record, life)
     watchers = _watchers(trial, record, life, end, successor_start)
     noticed_at = {
@@ -171,7 +172,7 @@
         )
         if late:
             verdict.broke.append(
-                f"detect: n{life.number} was not held gone within {bound / 1e6:g} s by "
+                f"detect: n{life.number} was not declared gone within {bound / 1e6:g} s by "
                 + ", ".join(f"n{number}" for number in late[:5])
             )
     if times and len(times) == len(watchers):
@@ -179,7 +180,7 @@
 
 
 def _successor_start(record: Record, life: Life) -> int:
-    """When the next process under the same name began, or the end of the record."""
+    """The start of the next process under the same name, or else the end of the record."""
     starts = (
         each.start
         for each in record.lives
@@ -189,7 +190,8 @@
 
 
 def _watchers(trial: Trial, record: Record, life: Life, end: int, successor_start: int) -> set[int]:
-    """Those who lived from before the end of `life` until its successor, and met no blurring fault."""
+    """The members that ran from before the end of `life` until its successor's start, except those
+    affected by an obscuring fault."""
     watchers = {
         each.number
         for each in record.lives
@@ -202,27 +204,25 @@
 
 
 def _obscuring_acts(trial: Trial) -> list[Act]:
-    """Faults during which the living may be held dead for good reason."""
+    """Faults during which running members may rightly be declared dead."""
     return [act for act in trial.acts if act.kind in BLURS]
 
 
 def _count_false_deaths(trial: Trial, record: Record) -> int:
-    """How many of the living were held dead, each counted once however many told of it."""
+    """Counts running members that were declared dead, once each, however many members logged it."""
     last_counted: dict[int, int] = {}
     count = 0
     for change in record.lines:
         if change.code != "gone" or change.at < 0 or not _is_false_death(trial, record, change):
             continue
         if change.at - last_counted.get(change.peer, -FAULT_EFFECT_US) >= FAULT_EFFECT_US:
-            last_counted[change.peer] = (
-                change.at
-            )  # the same death, as another one heard of it, does not count
+            last_counted[change.peer] = change.at  # later reports of this death do not count
             count += 1
     return count
 
 
 def _is_false_death(trial: Trial, record: Record, change: GradeChange) -> bool:
-    """Whether a member that was held dead lived, and nothing excuses the error."""
+    """Whether a member that was declared dead was running, and no fault explains the error."""
     lived = any(
         life.number == change.peer
         and not life.told
@@ -231,7 +231,7 @@
         and not life.double
         for life in record.lives
     )
-    # A death just before a restart may be told after it, of the older life.
+    # A death just before a restart may be logged after it, for the older life.
     recently_ended = any(
         life.number == change.peer
         and life.end is not None
@@ -247,7 +247,7 @@
 
 
 def _check_recovery(trial: Trial, record: Record, verdict: Verdict) -> None:
-    """From the end of the last fault on: when all held the same, and when the limit was in use again."""
+    """Checks how long after the last fault all members agreed and the limit was in use again."""
     terms, expect, faults_end = trial.terms, trial.expect, trial.over
     first_fault = min((act.at for act in trial.acts), default=0)
     shares: dict[str, list[float]] = {"before": [], "during": [], "after": []}
@@ -261,7 +261,7 @@
         actual = frozenset(
             (f"n{number}", sample.own[number]) for number in sample.living if number in sample.own
         )
-        # A look that one of them did not answer in time says nothing of whether they agree.
+        # A sample without the answer of a running member proves nothing about agreement.
         if len(actual) == len(sample.living):
             if any(sample.present.get(number) != actual for number in sample.living):
                 verdict.agreed_ms = None
