--- a/limeridge/trial/relay.py
+++ b/limeridge/trial/relay.py
@@ -52,7 +52,7 @@
         if source is None:
             return
         now = int(relay.reactor.seconds() * 1e6)
-        for delay in relay.faults.datagram(source, relay.number, len(data), now):
+        for delay in relay.faults.delivery_delays(source, relay.number, len(data), now):
             if delay:
                 relay.reactor.callLater(delay / 1e6, self.forward, data)
             else:
@@ -97,9 +97,9 @@
         """Called by Twisted: passes bytes on, as late as the faults have it; drops them while the way is
         cut."""
         relay, faults = self.relay, self.relay.faults
-        if not faults.whole(self.source, relay.number):
+        if not faults.is_connected(self.source, relay.number):
             return  # it stands, and nothing comes through
-        delay = faults.slow[self.source] + faults.slow[relay.number]
+        delay = faults.delay_us[self.source] + faults.delay_us[relay.number]
         if delay:
             relay.reactor.callLater(delay / 1e6, partial(self.pass_on, data))
         else:
@@ -118,7 +118,7 @@
         if (
             self.other is not None
             and self.other.up
-            and self.relay.faults.whole(self.source, self.relay.number)
+            and self.relay.faults.is_connected(self.source, self.relay.number)
         ):
             self.other.transport.loseConnection()
 
--- a/limeridge/trial/rig.py
+++ b/limeridge/trial/rig.py
@@ -338,7 +338,7 @@
             self.ledger.slowdown = act.amount
             later(lasts, lambda: setattr(self.ledger, "slowdown", 1.0))
         else:
-            heal = self.faults.begin(act)
+            heal = self.faults.start_fault(act)
             if heal is not None:
                 later(lasts, heal)
 
@@ -365,7 +365,7 @@
         """Lets a fault come and go every `act.amount` milliseconds, until `until` on the monotonic clock."""
         if time.monotonic() >= until:
             return
-        heal = self.faults.begin(act)
+        heal = self.faults.start_fault(act)
         period = act.amount / 1e3
         if heal is not None:
             self.reactor.callLater(period, heal)
