--- a/limeridge/trial/faults.py
+++ b/limeridge/trial/faults.py
@@ -1,7 +1,7 @@
-"""What happens between members: who is cut from whom, what is lost, late, doubled or out of order.
+"""Network faults between members: cut paths, and loss, delay, duplication and reordering of datagrams.
 
-It owns the state of all links and the draw of each datagram's fate. It must never open a socket or look at
-a clock.
+It owns the state of all links and the random draws for each datagram. It must not open sockets or read a
+clock.
 """
 
 from __future__ import annotations
@@ -13,32 +13,32 @@
 
 from limeridge.trial.scenario import Act, Kind
 
-MAX_QUEUE_US = 200_000  # microseconds of data that wait before a narrow way; what is more is dropped
-REORDER_DELAY_US = 5_000, 60_000  # microseconds
+MAX_QUEUE_US = 200_000  # of data queued for a bandwidth-limited sender; datagrams beyond it are dropped
+REORDER_DELAY_US = 5_000, 60_000  # range of the delay of reordered datagrams
 SHARE_FIELDS = {Kind.LOSS: "lost", Kind.REORDER: "reordered", Kind.COPIES: "copied"}  # of all datagrams
 
 
 @dataclass
 class Faults:
-    """Numbers name instances. Delays are microseconds."""
+    """The current faults. Instances are identified by number, delays are in microseconds."""
 
     instances: int
     chance: random.Random
-    cut_counts: Counter[tuple[int, int]] = field(default_factory=Counter)  # ways from, to
-    delay_us: Counter[int] = field(default_factory=Counter)  # on all that one sends
+    cut_counts: Counter[tuple[int, int]] = field(default_factory=Counter)  # active cuts by (source, target)
+    delay_us: Counter[int] = field(default_factory=Counter)  # added to all traffic from an instance
     lost: float = 0.0
     reordered: float = 0.0
     copied: float = 0.0
-    bandwidth: dict[int, float] = field(default_factory=dict)  # bytes a second of all that one sends
-    free_at: dict[int, int] = field(default_factory=dict)  # when its narrow way is free again
+    bandwidth: dict[int, float] = field(default_factory=dict)  # bytes per second from an instance
+    free_at: dict[int, int] = field(default_factory=dict)  # end of its send queue, in microseconds
     counts: Counter[str] = field(default_factory=Counter)
 
     def is_cut(self, source: int, target: int) -> bool:
-        """Whether nothing gets from one member to the other."""
+        """Whether traffic from `source` to `target` is blocked."""
         return self.cut_counts[(source, target)] > 0
 
     def delivery_delays(self, source: int, target: int, size: int, now: int) -> list[int]:
-        """Delays of the copies that arrive; none where it is lost."""
+        """The delay of each delivered copy of a datagram; empty if it is lost."""
         if self.is_cut(source, target):
             self.counts["cut"] += 1
             return []
@@ -62,13 +62,13 @@
         return [delay + copy * 1_000 for copy in range(copies)]
 
     def is_connected(self, one: int, other: int) -> bool:
-        """Whether a connection between them moves anything: both ways are needed."""
+        """Whether a connection between two members can carry data, which takes both directions."""
         return not self.is_cut(one, other) and not self.is_cut(other, one)
 
-    # ---- faults that begin; each gives what ends it
+    # ---- starting faults; each method returns the function that ends the fault
 
     def cut_paths(self, paths: Iterable[tuple[int, int]]) -> Callable[[], None]:
-        """Cuts these ways; what is returned mends them."""
+        """Cuts the given (source, target) paths. The returned function restores them."""
         chosen = list(paths)
         self.cut_counts.update(chosen)
 
@@ -78,8 +78,8 @@
         return restore
 
     def start_fault(self, act: Act) -> Callable[[], None] | None:
-        """None for a fault that is not of links. A flap is one cut: who drives it begins it again and
-        again."""
+        """Starts a network fault; returns None for other kinds of faults. A flap is a single cut here: the
+        caller repeats it."""
         inside = set(act.who)
         outside = set(range(self.instances)) - inside
         if act.kind in (Kind.CUT, Kind.FLAP):
