--- a/limeridge/trial/day.py
+++ b/limeridge/trial/day.py
@@ -29,8 +29,8 @@
 from limeridge.standins.ledger import Ledger
 from limeridge.standins.nodelist import NodeList
 
-HERE = "127.0.0.1"
-READY_MOST = 10.0  # seconds that an instance may take to be ready
+LOOPBACK = "127.0.0.1"
+READY_TIMEOUT_S = 10.0  # seconds that an instance may take to be ready
 KINDS = {"free": "inquiry-like", "guarded": "referenced", "single_shot": "once-only"}
 
 
@@ -62,12 +62,12 @@
         self.seconds, self.rate, self.code = seconds, rate, code
         self.chance = random.Random(seed)
         self.report: dict[str, Any] = {}
-        self.gone: set[str] = set()
+        self.finished_refs: set[str] = set()
         self.plan = draw(Ranges(), seed)
-        with socket.socket() as free:
-            free.bind((HERE, 0))
-            self.port = free.getsockname()[1]
-        self.kernel = Kernel(self.reactor, 2, self.chance, self.gone.__contains__)
+        with socket.socket() as probe:
+            probe.bind((LOOPBACK, 0))
+            self.port = probe.getsockname()[1]
+        self.kernel = Kernel(self.reactor, 2, self.chance, self.finished_refs.__contains__)
         self.ledger = Ledger(self.reactor, self.chance)
         self.node_list = NodeList(self.reactor, delay_s=0.0)
         self.stubs = [
@@ -77,30 +77,31 @@
                 StubOptions(),
                 random.Random(seed + number),
                 self.node_list.visible_names,
-                lambda _: (HERE, self.port),
+                lambda _: (LOOPBACK, self.port),
                 lambda _: time.time(),
-                self.over,
+                self.finish_request,
             )
             for number in range(3)
         ]
 
-    def over(self, ref: str) -> None:
+    def finish_request(self, ref: str) -> None:
         """Notes that the caller of a request is gone, and ends the request's run."""
-        self.gone.add(ref)
+        self.finished_refs.add(ref)
         self.kernel.cancel_finished_txn(ref)
 
     def start(self, folder: str) -> None:
         """Starts the stand-ins, then the instance with a configuration that names them."""
         reactor, config = self.reactor, self.plan.config(0)
         ports = [
-            reactor.listenTCP(0, each, interface=HERE).getHost().port for each in (self.kernel, self.ledger)
+            reactor.listenTCP(0, each, interface=LOOPBACK).getHost().port
+            for each in (self.kernel, self.ledger)
         ]
-        listed = reactor.listenUDP(0, self.node_list, interface=HERE).getHost().port
+        node_list_port = reactor.listenUDP(0, self.node_list, interface=LOOPBACK).getHost().port
         config |= {
-            "listen": f"{HERE}:{self.port}",
-            "kernel": f"{HERE}:{ports[0]}",
-            "records": f"{HERE}:{ports[1]}",
-            "roster": f"{HERE}:{listed}",
+            "listen": f"{LOOPBACK}:{self.port}",
+            "kernel": f"{LOOPBACK}:{ports[0]}",
+            "records": f"{LOOPBACK}:{ports[1]}",
+            "roster": f"{LOOPBACK}:{node_list_port}",
         }
         config["settings"]["familyInfo"]["cpus"] = 2
         path = Path(folder) / "config.json"
@@ -113,37 +114,39 @@
             env=os.environ | {"BALANCER_CONFIG": str(path)},
             path=self.code or None,  # the folder comes first on the way to its modules
         )
-        self.begun = reactor.seconds()
+        self.started_at = reactor.seconds()
         reactor.callLater(0.05, self.await_ready)
 
     def await_ready(self) -> None:
         """Begins the traffic once service discovery lists the instance; kills it after READY_MOST
         seconds."""
         if self.node_list.visible_names():
-            self.report["ready_s"] = round(self.reactor.seconds() - self.begun, 3)
-            self.traffic()
-        elif self.reactor.seconds() - self.begun > READY_MOST:
+            self.report["ready_s"] = round(self.reactor.seconds() - self.started_at, 3)
+            self.schedule_traffic()
+        elif self.reactor.seconds() - self.started_at > READY_TIMEOUT_S:
             self.process.signalProcess("KILL")
         else:
             self.reactor.callLater(0.02, self.await_ready)
 
-    def traffic(self) -> None:
+    def schedule_traffic(self) -> None:
         """Sets out all requests and all misbehaving callers at drawn times, and the drain after them."""
         self.stubs[0].start()
         for number in range(int(self.seconds * self.rate)):
-            self.reactor.callLater(self.chance.random() * self.seconds, self.ask, number)
+            self.reactor.callLater(self.chance.random() * self.seconds, self.send_request, number)
         for kind in MisbehavingCaller.KINDS:
-            rude = MisbehavingCaller(kind, self.reactor, self.chance, self.plan.products[0].name, time.time)
+            misbehaving = MisbehavingCaller(
+                kind, self.reactor, self.chance, self.plan.products[0].name, time.time
+            )
             self.reactor.callLater(
                 self.chance.random() * self.seconds,
                 self.reactor.connectTCP,
-                HERE,
+                LOOPBACK,
                 self.port,
-                MisbehavingCallerFactory(rude),
+                MisbehavingCallerFactory(misbehaving),
             )
         self.reactor.callLater(self.seconds + 2.5, self.drain)
 
-    def ask(self, number: int) -> None:
+    def send_request(self, number: int) -> None:
         """Sends a request by one of the callers."""
         product = self.chance.choice(self.plan.products)
         key = f"k{number}" if product.kind == "guarded" else ""
@@ -164,7 +167,7 @@
 
     def drain(self) -> None:
         """Sends SIGTERM."""
-        self.drained = self.reactor.seconds()
+        self.drain_started_at = self.reactor.seconds()
         self.process.signalProcess(signal.SIGTERM)
 
     def run(self) -> dict[str, Any]:
@@ -172,18 +175,18 @@
         with tempfile.TemporaryDirectory() as folder:
             self.reactor.callWhenRunning(self.start, folder)
             self.reactor.run()
-        used = resource.getrusage(resource.RUSAGE_CHILDREN)
-        states = [case.state for stub in self.stubs for case in stub.txns]
+        usage = resource.getrusage(resource.RUSAGE_CHILDREN)
+        states = [txn.state for stub in self.stubs for txn in stub.txns]
         self.report |= {
             "txns": len(states),
             "states": {state: states.count(state) for state in sorted(set(states))},
             "checks_good": self.stubs[0].health_checks[1],
             "reports_strange": self.node_list.malformed_reports,
             "lines_broken": [line.decode(errors="replace") for line in self.kernel.malformed_lines],
-            "instance_cpu_s": round(used.ru_utime + used.ru_stime, 3),
-            "instance_peak_mb": round(used.ru_maxrss / 1_024, 1),
+            "instance_cpu_s": round(usage.ru_utime + usage.ru_stime, 3),
+            "instance_peak_mb": round(usage.ru_maxrss / 1_024, 1),
             "exceptions": self.child.log.count(b'"trace"'),
-            "drain_s": round(self.reactor.seconds() - self.drained, 2),
+            "drain_s": round(self.reactor.seconds() - self.drain_started_at, 2),
         }
         return self.report
 
