--- a/limeridge/trial/day.py
+++ b/limeridge/trial/day.py
@@ -1,9 +1,9 @@
-"""`python -m limeridge.trial.day SECONDS RATE SEED [CODE]`: a short day of the stand-ins with a real
-instance on loopback sockets; CODE is a checkout whose instance is taken, for a comparison with another
-version.
+"""`python -m limeridge.trial.day SECONDS RATE SEED [CODE]`: a short run of a real instance against fakes of
+its services and callers on loopback sockets. CODE is a checkout to run the instance from, to compare
+versions.
 
-It owns the wiring of one process with all stand-ins and one child, the instance. It must never open a socket
-off loopback, and ends by itself.
+It owns the wiring of one process with all fakes and one child process, the instance. It opens sockets only on
+loopback and ends by itself.
 """
 
 from __future__ import annotations
@@ -30,32 +30,32 @@
 from limeridge.standins.nodelist import NodeList
 
 LOOPBACK = "127.0.0.1"
-READY_TIMEOUT_S = 10.0  # seconds that an instance may take to be ready
+READY_TIMEOUT_S = 10.0
 KINDS = {"free": "inquiry-like", "guarded": "referenced", "single_shot": "once-only"}
 
 
 class Child(ProcessProtocol):
-    """The instance as a process; keeps all that it writes."""
+    """The instance's process; collects its output."""
 
     def __init__(self, day: Day) -> None:
         self.day, self.log = day, b""
 
     def outReceived(self, data: bytes) -> None:
-        """Called by Twisted with what the instance wrote to its standard output."""
+        """Called by Twisted with data from the instance's standard output."""
         self.log += data
 
     def errReceived(self, data: bytes) -> None:
-        """Called by Twisted with what the instance wrote to its standard error."""
+        """Called by Twisted with data from the instance's standard error."""
         self.log += data
 
     def processEnded(self, reason: Any) -> None:
-        """Called by Twisted at the end of the instance; ends the day."""
+        """Called by Twisted when the instance exits; ends the run."""
         self.day.report["exit"] = reason.value.exitCode
         self.day.reactor.callLater(0.1, self.day.reactor.stop)
 
 
 class Day:
-    """`seconds` of traffic at `rate` txns a second, bad callers among them, and a drain at the end."""
+    """`seconds` of traffic at `rate` txns per second and from misbehaving callers, followed by a drain."""
 
     def __init__(self, seconds: float, rate: float, seed: int, code: str = "") -> None:
         self.reactor: Any = the_reactor
@@ -85,12 +85,12 @@
         ]
 
     def finish_request(self, ref: str) -> None:
-        """Notes that the caller of a request is gone, and ends the request's run."""
+        """Records that a request was answered or abandoned, and halts its run if it is waiting for a call."""
         self.finished_refs.add(ref)
         self.kernel.cancel_finished_txn(ref)
 
     def start(self, folder: str) -> None:
-        """Starts the stand-ins, then the instance with a configuration that names them."""
+        """Starts the fake services, then the instance with a configuration that points to them."""
         reactor, config = self.reactor, self.plan.config(0)
         ports = [
             reactor.listenTCP(0, each, interface=LOOPBACK).getHost().port
@@ -112,14 +112,13 @@
             sys.executable,
             [sys.executable, "-m", "limeridge"],
             env=os.environ | {"BALANCER_CONFIG": str(path)},
-            path=self.code or None,  # the folder comes first on the way to its modules
+            path=self.code or None,  # the working directory comes first in the module search path
         )
         self.started_at = reactor.seconds()
         reactor.callLater(0.05, self.await_ready)
 
     def await_ready(self) -> None:
-        """Begins the traffic once service discovery lists the instance; kills it after READY_MOST
-        seconds."""
+        """Starts the traffic once the node list shows the instance; kills it after READY_TIMEOUT_S."""
         if self.node_list.visible_names():
             self.report["ready_s"] = round(self.reactor.seconds() - self.started_at, 3)
             self.schedule_traffic()
@@ -129,7 +128,7 @@
             self.reactor.callLater(0.02, self.await_ready)
 
     def schedule_traffic(self) -> None:
-        """Sets out all requests and all misbehaving callers at drawn times, and the drain after them."""
+        """Schedules all requests and misbehaving callers at random times, and the drain after them."""
         self.stubs[0].start()
         for number in range(int(self.seconds * self.rate)):
             self.reactor.callLater(self.chance.random() * self.seconds, self.send_request, number)
@@ -147,7 +146,7 @@
         self.reactor.callLater(self.seconds + 2.5, self.drain)
 
     def send_request(self, number: int) -> None:
-        """Sends a request by one of the callers."""
+        """Sends a request from a random caller."""
         product = self.chance.choice(self.plan.products)
         key = f"k{number}" if product.kind == "guarded" else ""
         doc = b"work=%d calls=%d op=5000 n=%d" % (self.chance.randrange(1_000, 6_000), number % 3, number)
@@ -171,7 +170,7 @@
         self.process.signalProcess(signal.SIGTERM)
 
     def run(self) -> dict[str, Any]:
-        """Plays the whole day; what came of it, as JSON has it."""
+        """Performs the run and returns its report as JSON-compatible data."""
         with tempfile.TemporaryDirectory() as folder:
             self.reactor.callWhenRunning(self.start, folder)
             self.reactor.run()
