--- a/limeridge/trial/judge.py
+++ b/limeridge/trial/judge.py
@@ -252,10 +252,10 @@
     first_fault = min((act.at for act in trial.acts), default=0)
     shares: dict[str, list[float]] = {"before": [], "during": [], "after": []}
     for sample in record.looks:
-        dealt = sum(sample.calls.values()) / terms.limit
+        allotted_share = sum(sample.calls.values()) / terms.limit
         shares[
             "before" if sample.at < first_fault else "during" if sample.at <= faults_end else "after"
-        ].append(dealt)
+        ].append(allotted_share)
         if sample.at <= faults_end:
             continue
         actual = frozenset(
--- a/limeridge/trial/soak.py
+++ b/limeridge/trial/soak.py
@@ -353,9 +353,9 @@
 
 
 def _free_port(host: str) -> int:
-    with socket.socket() as made:
-        made.bind((host, 0))
-        return int(made.getsockname()[1])
+    with socket.socket() as probe:
+        probe.bind((host, 0))
+        return int(probe.getsockname()[1])
 
 
 def main() -> None:
--- a/limeridge/trial/soak_clients.py
+++ b/limeridge/trial/soak_clients.py
@@ -67,8 +67,8 @@
         wait = chance.choice((*CLIENT_TIMEOUTS_MS, product.expiry // 1_000, product.expiry // 1_000))
         key = f"k{self.instance}-{self.serial}" if product.kind == "guarded" else ""
         ref = f"{chance.getrandbits(64):016x}"
-        made = Request(ref, self.instance, product.name, key, time.time(), wait / 1_000)
-        return made, doc, product.window / 1_000_000
+        request = Request(ref, self.instance, product.name, key, time.time(), wait / 1_000)
+        return request, doc, product.window / 1_000_000
 
 
 class Connection(Wire):
