--- a/limeridge/cli/trial.py
+++ b/limeridge/cli/trial.py
@@ -149,7 +149,7 @@
 
     for kind in world.passed_over(plan):
         click.echo(f"passed over, for this world has none of it: {kind}", err=True)
-    return world.run(plan).plain()
+    return world.run(plan).as_dict()
 
 
 def real(plan: scenario.Trial, nodes: int, out: Path | None, lane: int) -> dict[str, Any]:
@@ -319,13 +319,15 @@
             reports.append(report)
             if not as_json:
                 soak_told(report)
-    seldom = soak_table.too_little(reports)
+    seldom = soak_table.insufficient_counts(reports)
     verdicts = [soak_table.verdict(report) for report in reports]
     if as_json:
         click.echo(orjson.dumps({"reports": reports, "too_little": seldom}))
     else:
         click.echo(
-            "\n".join(["", *soak_table.lines(reports), *(f"met too little: {each}" for each in seldom)])
+            "\n".join(
+                ["", *soak_table.markdown_table(reports), *(f"met too little: {each}" for each in seldom)]
+            )
         )
     broke = "broke" in verdicts or bool(seldom)
     raise click.exceptions.Exit(1 if broke else BUSY if "machine too busy" in verdicts else 0)
--- a/limeridge/sim/bad_callers.py
+++ b/limeridge/sim/bad_callers.py
@@ -17,8 +17,8 @@
 from limeridge.sim.plan import MS, PROTOCOL_KINDS, Product, instance_ip
 from limeridge.sim.timeline import SECOND
 from limeridge.sim.wires import FarewellSent, LateSenderClosed, LineClosing, TxnReceived, WireEvent
-from limeridge.standins.bad_callers import BadCaller, ConnectOnce, KeyCopier, LateSender, Moment
-from limeridge.standins.callers import Want
+from limeridge.standins.bad_callers import BadCaller, ConnectOnce, KeyCopier, LateSender, SendTime
+from limeridge.standins.callers import TxnSpec
 
 if TYPE_CHECKING:
     from limeridge.sim.world import Machine, World
@@ -95,7 +95,7 @@
         )
         self.connect(machine, copier)
 
-    def _vary_request(self, original: Want) -> Want:
+    def _vary_request(self, original: TxnSpec) -> TxnSpec:
         """The same request with another body, another tenant, or both."""
         tenants = [f"c{n}" for n in range(self.world.plan.customers) if f"c{n}" != original.customer]
         changes = self.rng.choice(("body", "tenant", "both")) if tenants else "body"
@@ -107,9 +107,9 @@
     def _find_product(self, name: str) -> Product:
         return next(product for product in self.world.plan.products if product.name == name)
 
-    def _make_want(self, product: Product, doc: bytes) -> Want:
+    def _make_want(self, product: Product, doc: bytes) -> TxnSpec:
         expiry = product.expiry // MS
-        return Want(-1, product.name, PROTOCOL_KINDS[product.kind], "", "", 2.0, expiry, expiry, doc)
+        return TxnSpec(-1, product.name, PROTOCOL_KINDS[product.kind], "", "", 2.0, expiry, expiry, doc)
 
     # ---- requests sent as the connection closes
 
@@ -132,13 +132,13 @@
         def on_closed(sender: LateSender, reset: bool) -> None:
             if machine.start_count == lifetime and machine.instance is not None:
                 line = sender.transport.other.serial
-                warned, answered = sender.late_warned, sender.late_answered
+                warned, answered = sender.late_after_farewell, sender.late_answered
                 machine.on_wire_event(
-                    LateSenderClosed(line, sender.late, sender.silent, warned, answered, reset)
+                    LateSenderClosed(line, sender.late_ref, sender.silent, warned, answered, reset)
                 )
 
         want = self._make_want(world.plan.products[0], b"work=2000 calls=0 op=0 n=-1")
-        moment, silent = self.rng.choice(tuple(Moment)), self.rng.random() < SILENT_SHARE
+        moment, silent = self.rng.choice(tuple(SendTime)), self.rng.random() < SILENT_SHARE
         common_arguments = (world.rude_reactor, self.rng, machine.unix_time, world.on_txn_ended)
         self.connect(machine, LateSender(want, moment, silent, on_connected, on_closed, *common_arguments))
 
@@ -148,7 +148,7 @@
         senders = [
             sender
             for sender in self.observed[machine.name].late_senders.values()
-            if sender.moment is Moment.PARTING
+            if sender.send_time is SendTime.BEFORE_SHUTDOWN
         ]
         if senders:
             close_delay = max(plan.stop - int(CLOSE_STREAMS_BEFORE_KILL_S * SECOND), plan.stop // 2)
@@ -156,10 +156,10 @@
 
     def _send_at_close(self, sender: LateSender, event: FarewellSent | LineClosing) -> None:
         """Sends the late request when the instance sends a farewell to its caller or closes the line."""
-        awaited_moment = Moment.FAREWELL if isinstance(event, FarewellSent) else Moment.IN_THE_AIR
-        if sender.moment is awaited_moment:
+        awaited_moment = SendTime.CROSSING_FAREWELL if isinstance(event, FarewellSent) else SendTime.CROSSING_CLOSE
+        if sender.send_time is awaited_moment:
             self.world.rude_reactor.callLater(0, sender.send_late)
-        elif sender.moment is Moment.UNREAD and isinstance(event, LineClosing):
+        elif sender.send_time is SendTime.BEFORE_CLOSE and isinstance(event, LineClosing):
             self._send_unread([sender])
 
     def _send_unread(self, senders: list[LateSender]) -> None:
--- a/limeridge/sim/world.py
+++ b/limeridge/sim/world.py
@@ -51,7 +51,7 @@
 from limeridge.sim.reactor import Network, Reactor, Socket
 from limeridge.sim.timeline import SECOND, START_TIME, Life, Timeline
 from limeridge.sim.wires import Recorder, WireEvent
-from limeridge.standins.callers import Habit, Rude, RudeWay, Stub, Want
+from limeridge.standins.callers import MisbehavingCaller, MisbehavingCallerFactory, Stub, StubOptions, TxnSpec
 from limeridge.standins.kernel import Kernel
 from limeridge.standins.ledger import Ledger
 from limeridge.standins.nodelist import NodeList
@@ -140,14 +140,14 @@
             plan.cores,
             world.rng_for(f"kernel {self.number} {self.start_count}"),
             world.finished_refs.__contains__,
-            boot=boot,
+            boot_s=boot,
             cold=cold,
             memory_kb=plan.memory_kb,
         )
-        self.kernel.misled = lambda ref: self.report_violation(
+        self.kernel.on_wrong_reply = lambda ref: self.report_violation(
             RuleViolation("reply", ref, "the kernel accepted a reply to another call")
         )
-        self.kernel.speed, self.kernel.doubled = self.speed, self.duplicate_notice_share
+        self.kernel.speed, self.kernel.duplicate_share = self.speed, self.duplicate_notice_share
         for port in KERNEL_PORTS:
             self.kernel_reactor.listenTCP(port, self.kernel)
         config = (
@@ -432,7 +432,7 @@
             self.rng_for(f"ledger {self.timeline.now}"),
             slots=max(4, int(self.plan.calls_out * self.plan.instances)),
         )
-        self.ledger.told = self.check_ledger_limit
+        self.ledger.on_call_count = self.check_ledger_limit
         for name, value in self.ledger_faults.items():
             setattr(self.ledger, name, value)
         for port in (8900, 8901):
@@ -460,19 +460,21 @@
         caller = self.plan.callers[number]
         # Every third caller idles until its connection is closed, despite a farewell. This is not drawn, so
         # that the plans of existing seeds stay the same.
-        habit = Habit(caller.tries, caller.heeds, caller.sticky, caller.hedges, rests=number % 3 == 2)
+        habit = StubOptions(
+            caller.tries, caller.heeds, caller.sticky, caller.hedges, keeps_connections=number % 3 == 2
+        )
         names = tuple(machine.name for machine in self.machines)
         stub = Stub(
             self.stub_reactors[number],
             number,
             habit,
             self.rng_for(f"caller {number} {self.timeline.now}"),
-            lambda: self.node_list.listed() or names,
+            lambda: self.node_list.visible_names() or names,
             self.instance_address,
             self.instance_time,
             self.on_txn_ended,
         )
-        stub.start(checks=number == 0 and self.plan.checks)
+        stub.start(health_checks=number == 0 and self.plan.checks)
         return stub
 
     def instance_address(self, name: str) -> tuple[str, int]:
@@ -485,18 +487,18 @@
         self.finished_refs.add(ref)
         for machine in self.machines:
             if machine.instance is not None and ref in machine.kernel.runs:
-                machine.kernel.ended_outside(ref)
+                machine.kernel.cancel_finished_txn(ref)
 
     # ---- traffic
 
     def send_txn(self, txn: PlannedTxn, number: int) -> None:
         stub = self.stubs[txn.caller]
-        stub.want(self.make_want(txn, number))
-        self.cases.append(stub.cases[-1])
+        stub.submit(self.make_want(txn, number))
+        self.cases.append(stub.txns[-1])
 
-    def make_want(self, txn: PlannedTxn, number: int) -> Want:
+    def make_want(self, txn: PlannedTxn, number: int) -> TxnSpec:
         product = self.plan.products[txn.product]
-        return Want(
+        return TxnSpec(
             number,
             product.name,
             PROTOCOL_KINDS[product.kind],
@@ -670,7 +672,7 @@
         def set_share(share: float) -> None:
             machine.duplicate_notice_share = share
             if machine.instance is not None:
-                machine.kernel.doubled = share
+                machine.kernel.duplicate_share = share
 
         set_share(fault.amount)
         return lambda: set_share(0.0)
@@ -684,22 +686,22 @@
         return lambda: set_value(default)
 
     def _ledger_slow(self, fault: Fault) -> Any:
-        return self._ledger("slow", fault.amount, 1.0)
+        return self._ledger("slowdown", fault.amount, 1.0)
 
     def _ledger_full(self, fault: Fault) -> Any:
-        return self._ledger("refuses", fault.amount, 0.0)
+        return self._ledger("refused_share", fault.amount, 0.0)
 
     def _ledger_fails(self, fault: Fault) -> Any:
-        return self._ledger("fails", fault.amount, 0.0)
+        return self._ledger("failed_share", fault.amount, 0.0)
 
     def _ledger_loses(self, fault: Fault) -> Any:
-        return self._ledger("loses", fault.amount, 0.0)
+        return self._ledger("lost_share", fault.amount, 0.0)
 
     def _ledger_spoils(self, fault: Fault) -> Any:
-        return self._ledger("spoils", fault.amount, 0.0)
+        return self._ledger("corrupted_share", fault.amount, 0.0)
 
     def _ledger_doubles(self, fault: Fault) -> Any:
-        return self._ledger("doubles", fault.amount, 0.0)
+        return self._ledger("duplicated_share", fault.amount, 0.0)
 
     def _ledger_down(self, fault: Fault) -> Any:
         if not self.ledger_reactor.life.alive:
@@ -717,14 +719,16 @@
         machine = self.target_machine(fault)
         count, kind = divmod(int(fault.amount), RUDE_CALLER_KINDS)
         for _ in range(max(1, count)):
-            rude = Rude(
-                Rude.KINDS[kind],
+            rude = MisbehavingCaller(
+                MisbehavingCaller.KINDS[kind],
                 self.rude_reactor,
                 self.fault_rng,
                 self.plan.products[0].name,
                 machine.unix_time,
             )
-            self.rude_reactor.connectTCP(instance_ip(machine.number), 8443, RudeWay(rude), timeout=1.0)
+            self.rude_reactor.connectTCP(
+                instance_ip(machine.number), 8443, MisbehavingCallerFactory(rude), timeout=1.0
+            )
         return None
 
     def _key_copy(self, fault: Fault) -> Any:
@@ -749,9 +753,9 @@
 
     def _caller_restart(self, fault: Fault) -> Any:
         number = fault.target % len(self.stubs)
-        for ref in list(self.stubs[number].case_of):
+        for ref in list(self.stubs[number].txn_by_ref):
             self.on_txn_ended(ref)
-        for case in self.stubs[number].cases:
+        for case in self.stubs[number].txns:
             if case.state == "open":
                 case.state = "forgotten"
         self.stub_reactors[number].shut(in_order=self.fault_rng.random() < 0.5)
@@ -956,7 +960,7 @@
         probe = Stub(
             self.probe_reactor,
             8,
-            Habit(tries=3, heeds=False),
+            StubOptions(max_tries=3, follows_advice=False),
             self.rng_for("probe"),
             lambda: (),
             self.instance_address,
@@ -966,9 +970,9 @@
         cases: list[tuple[Machine, Any]] = []
         for number, machine in enumerate([*self.machines, *self.machines]):
             txn = PlannedTxn(0, 0, 0, -1, "", 2.0, self.plan.products[0].expiry // MS, 2_000, 1, 5_000)
-            probe.listed = lambda name=machine.name: (name,)  # type: ignore[misc]
-            cases.append((machine, probe.want(self.make_want(txn, 100_000 + number))))
-            cases[-1][1].maybe_ran = machine.name  # retries go to the same instance
+            probe.visible_names = lambda name=machine.name: (name,)  # type: ignore[misc]
+            cases.append((machine, probe.submit(self.make_want(txn, 100_000 + number))))
+            cases[-1][1].may_have_run_on = machine.name  # retries go to the same instance
         self.run_until_true(PROBE_TIMEOUT, lambda: not any(case.state == "open" for _, case in cases))
         self.judged["heals"] += 1
         for machine in self.machines:
@@ -1039,7 +1043,7 @@
 
     def missing_from_node_list(self) -> list[str]:
         """Names of the instances that are not on the node list."""
-        return sorted({machine.name for machine in self.machines} - set(self.node_list.current()))
+        return sorted({machine.name for machine in self.machines} - set(self.node_list.current_names()))
 
     def run_until_true(self, max_duration: int, done: Callable[[], bool]) -> bool:
         """Runs until `done` or for `max_duration`; returns False on time-out. A violation counts as done."""
--- a/limeridge/trial/rig.py
+++ b/limeridge/trial/rig.py
@@ -32,9 +32,9 @@
 from limeridge.peers.peer import own_claim
 from limeridge.settings.load import Unusable
 from limeridge.sim.plan import Ranges, draw
-from limeridge.standins.callers import Habit, Stub, Want
+from limeridge.standins.callers import Stub, StubOptions, TxnSpec
 from limeridge.standins.kernel import Kernel
-from limeridge.standins.ledger import LINGER, Ledger
+from limeridge.standins.ledger import ABANDONED_CALL_S, Ledger
 from limeridge.standins.nodelist import NodeList
 from limeridge.trial import judge, scenario
 from limeridge.trial.faults import Faults
@@ -152,9 +152,9 @@
         for place, number in enumerate(self.doubled()):
             who[self.host(101, trial.instances + place)] = number
         self.ledger = Ledger(reactor, self.chance, max(8, trial.terms.limit))
-        self.ledger.told = self.in_hand
+        self.ledger.on_call_count = self.in_hand
         reactor.listenTCP(LEDGER_PORT, self.ledger, interface=self.host(104, 0))
-        self.list = NodeList(reactor, late=0.2)
+        self.list = NodeList(reactor, delay_s=0.2)
         self.list_port = reactor.listenUDP(0, self.list, interface=self.host(104, 1))
         self.list_at = self.list_port.getHost().port
         for number in range(trial.instances + len(self.doubled())):
@@ -180,9 +180,9 @@
             Stub(
                 reactor,
                 number,
-                Habit(tries=3, heeds=True),
+                StubOptions(max_tries=3, follows_advice=True),
                 random.Random(f"{trial.seed} {number}"),
-                self.list.listed,
+                self.list.visible_names,
                 lambda name: (self.host(101, int(name[1:])), PORT),
                 lambda _: time.time(),
                 self.over,
@@ -199,7 +199,7 @@
         self.gone.add(ref)
         for kernel in self.kernels:
             if ref in kernel.runs:
-                kernel.ended_outside(ref)
+                kernel.cancel_finished_txn(ref)
 
     def in_hand(self, count: int) -> None:
         """Records the records service's count of calls, where it changed."""
@@ -223,7 +223,11 @@
             "roster": f"{self.host(104, 1)}:{self.list_at}",
             "seed": f"{trial.seed * 1_000 + place:x}",
         }
-        config["settings"]["familyInfo"] |= {"cpus": 2, "linger": int(LINGER * 1e6), "justStarted": False}
+        config["settings"]["familyInfo"] |= {
+            "cpus": 2,
+            "linger": int(ABANDONED_CALL_S * 1e6),
+            "justStarted": False,
+        }
         config["settings"]["groupSize"] = trial.instances
         path = self.folder / f"{place}.json"
         path.write_bytes(orjson.dumps(config))
@@ -331,10 +335,10 @@
             self.list_port.stopListening()
             later(lasts, self.list_again)
         elif act.kind is Kind.LEDGER_SLOW:
-            self.ledger.slow = act.amount
-            later(lasts, lambda: setattr(self.ledger, "slow", 1.0))
+            self.ledger.slowdown = act.amount
+            later(lasts, lambda: setattr(self.ledger, "slowdown", 1.0))
         else:
-            heal = self.faults.begin(act)
+            heal = self.faults.start_fault(act)
             if heal is not None:
                 later(lasts, heal)
 
@@ -361,7 +365,7 @@
         """Lets a fault come and go every `act.amount` milliseconds, until `until` on the monotonic clock."""
         if time.monotonic() >= until:
             return
-        heal = self.faults.begin(act)
+        heal = self.faults.start_fault(act)
         period = act.amount / 1e3
         if heal is not None:
             self.reactor.callLater(period, heal)
@@ -406,8 +410,8 @@
             number,
         )
         wait = product.expiry // 1_000
-        self.chance.choice(self.stubs).want(
-            Want(number, product.name, KINDS[product.kind], "", key, 5.0, wait, wait, doc)
+        self.chance.choice(self.stubs).submit(
+            TxnSpec(number, product.name, KINDS[product.kind], "", key, 5.0, wait, wait, doc)
         )
 
     def look(self) -> None:
@@ -419,7 +423,7 @@
         )
         if shown and self.zero:
             self.record.looks.append(
-                judge.Look(
+                judge.FleetSample(
                     self.now(),
                     {
                         number: frozenset(
@@ -500,11 +504,11 @@
 
         def done() -> None:
             if time.monotonic() < until and any(
-                case.state == "open" for stub in self.stubs for case in stub.cases
+                case.state == "open" for stub in self.stubs for case in stub.txns
             ):
                 self.reactor.callLater(0.05, done)
                 return
-            states = [case.state for stub in self.stubs for case in stub.cases]
+            states = [case.state for stub in self.stubs for case in stub.txns]
             self.record.states = {state: states.count(state) for state in sorted(set(states))}
             for child in [*self.children.values(), *self.doubles]:
                 self.kill(child, signal.SIGTERM)
@@ -539,7 +543,7 @@
                 if told.get("event") == "peer":
                     at = int((told["t"] - self.zero) * 1e6)
                     peer = int(told["peer"].removeprefix("n"))
-                    self.record.lines.append(judge.Line(at, number, told["code"], peer, told["life"]))
+                    self.record.lines.append(judge.GradeChange(at, number, told["code"], peer, told["life"]))
         self.record.lines.sort(key=lambda line: line.at)
 
 
@@ -556,7 +560,7 @@
     folder.mkdir(parents=True, exist_ok=True)
     rig = Rig(trial, folder, lane)
     verdict = rig.run()
-    (folder / "verdict.json").write_bytes(orjson.dumps(verdict.plain(), option=orjson.OPT_INDENT_2))
+    (folder / "verdict.json").write_bytes(orjson.dumps(verdict.as_dict(), option=orjson.OPT_INDENT_2))
     looks = [{"at": look.at, "calls": sum(look.calls.values())} for look in rig.record.looks]
     lines = [
         {"at": line.at, "watcher": line.watcher, "code": line.code, "peer": line.peer}
@@ -565,7 +569,7 @@
     (folder / "record.json").write_bytes(
         orjson.dumps({"looks": looks, "lines": lines, "in_hand": rig.record.in_hand})
     )
-    print(orjson.dumps(verdict.plain()).decode())
+    print(orjson.dumps(verdict.as_dict()).decode())
 
 
 if __name__ == "__main__":
--- a/limeridge/trial/soak_plan.py
+++ b/limeridge/trial/soak_plan.py
@@ -1,7 +1,7 @@
-"""What a soak does, drawn from a seed: instances, clients, signals, troubles and when each comes.
+"""The random plan of a soak, drawn from a seed: instances, clients, signals, faults and their times.
 
-It decides nothing of what is judged, reads no clock and opens nothing. Times are seconds from the start of
-the traffic, unless they are said to count from the notice to leave.
+It has no part in the verdict, reads no clock and opens no files or sockets. Times are seconds from the start
+of the traffic unless stated to be relative to the notice to leave.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 from dataclasses import dataclass
 from itertools import pairwise
 
-SIGNALS_CLOSE = 0.05  # seconds between the signals of a series, at the most
-QUIET = 30.0  # seconds without requests before the trouble, in some lives of the long soak
+MAX_SIGNAL_GAP_S = 0.05  # between the signals of a series
+QUIET_S = 30.0  # time without requests before the faults, in some of the long soaks
 
 
 @dataclass(frozen=True, slots=True)
 class Signal:
-    """A signal to one instance; `half_written`: its file is cut in the middle when it comes."""
+    """A signal to one instance. `half_written`: its configuration file is truncated at that time."""
 
     at: float
     name: str  # HUP, TERM, INT
@@ -25,75 +25,79 @@
 
 @dataclass(frozen=True, slots=True)
 class InstancePlan:
-    """One instance and what is done to it. It is killed `stop` seconds after its notice, and its successor
-    starts then."""
+    """One instance and the events that it is exposed to. It is killed `stop` seconds after its notice, and
+    its successor starts then."""
 
     number: int
     stop: float
     grace: float
     sockets: int
-    steady: int  # clients that keep their connections
-    crowd: int  # clients that connect anew once they are answered, round the notice; 0: none
+    persistent_clients: int  # clients that keep their connections open
+    crowd_clients: int  # clients that reconnect after each batch of answers, around the notice
     notice: float
-    signals: tuple[Signal, ...]  # besides the notice
+    signals: tuple[Signal, ...]  # the notice excluded
 
-    def moments(self) -> list[float]:
-        """All moments of trouble, for the pairs that lie close together."""
+    def trouble_times(self) -> list[float]:
+        """The times of the notice, the kill and all signals."""
         return [self.notice, self.notice + self.stop, *(each.at for each in self.signals)]
 
 
 @dataclass(frozen=True, slots=True)
 class SoakPlan:
-    """One soak: a life of each instance with its end, and the first moments of its successor."""
+    """One soak: the life of each instance up to its end, and the start of its successor."""
 
     seed: int
     seconds: float  # of traffic before the first notice
     quiet: float  # seconds without requests before that
     instances: tuple[InstancePlan, ...]
-    records_down: bool  # the records service refuses connections over the drains
-    discovery_down: bool  # nobody hears reports over the drains
-    resets: float  # share of clients' connections that the client resets at a drawn moment
+    records_down: bool  # the ledger refuses connections during the drains
+    discovery_down: bool  # service discovery ignores reports during the drains
+    reset_share: float  # of the persistent connections; reset by the client at a random time
 
     @property
     def last_notice(self) -> float:
         return max(each.notice for each in self.instances)
 
-    def pairs(self) -> int:
-        """Pairs of moments of one instance within 50 ms of each other."""
+    def close_pairs(self) -> int:
+        """The number of consecutive events at one instance that are at most 50 ms apart."""
         count = 0
         for each in self.instances:
-            moments = sorted(each.moments())
-            count += sum(b - a <= SIGNALS_CLOSE for a, b in pairwise(moments))
+            trouble_times = sorted(each.trouble_times())
+            count += sum(b - a <= MAX_SIGNAL_GAP_S for a, b in pairwise(trouble_times))
         return count
 
 
-def draw(seed: int, seconds: float, may_rest: bool = True) -> SoakPlan:
-    """The same seed and length give the same plan; without `may_rest` no life has a quiet time."""
+def draw(seed: int, seconds: float, allow_quiet: bool = True) -> SoakPlan:
+    """Draws a plan, deterministic for a seed and length. Without `allow_quiet` it has no quiet time."""
     chance = random.Random(f"soak/{seed}")
     count = chance.choice((1, 1, 2, 3))
-    begins = [seconds + chance.uniform(0, 0.6) for _ in range(count)]
-    crowded = chance.random() < 0.67
-    instances = tuple(_instance(chance, number, begins[number], crowded, count) for number in range(count))
+    notices = [seconds + chance.uniform(0, 0.6) for _ in range(count)]
+    has_crowd = chance.random() < 0.67
+    instances = tuple(
+        _draw_instance(chance, number, notices[number], has_crowd, count) for number in range(count)
+    )
     return SoakPlan(
         seed=seed,
         seconds=seconds,
-        quiet=QUIET if may_rest and chance.random() < 0.25 else 0.0,
+        quiet=QUIET_S if allow_quiet and chance.random() < 0.25 else 0.0,
         instances=instances,
         records_down=chance.random() < 0.25,
         discovery_down=chance.random() < 0.25,
-        resets=chance.choice((0.0, 0.0, 0.05)),
+        reset_share=chance.choice((0.0, 0.0, 0.05)),
     )
 
 
-def _instance(chance: random.Random, number: int, notice: float, crowded: bool, count: int) -> InstancePlan:
+def _draw_instance(
+    chance: random.Random, number: int, notice: float, has_crowd: bool, count: int
+) -> InstancePlan:
     stop = chance.uniform(0.8, 1.6)
     sockets = chance.choice((96, 256, 512))
-    room = sockets // 2 - 4  # the protocol: half of the descriptors at the most
-    steady = min(room // 2, chance.choice((4, 8, 16)))
+    client_limit = sockets // 2 - 4  # the protocol allows connections up to half of the descriptors
+    persistent_clients = min(client_limit // 2, chance.choice((4, 8, 16)))
     signals = [Signal(chance.uniform(0.3, notice), "HUP", chance.random() < 0.3) for _ in range(2)]
-    for _ in range(chance.randrange(3)):  # a series, close together and close to the notice
-        first = notice + chance.uniform(-SIGNALS_CLOSE, SIGNALS_CLOSE)
-        signals += [Signal(first, "HUP"), Signal(first + chance.uniform(0, SIGNALS_CLOSE), "HUP")]
+    for _ in range(chance.randrange(3)):  # close together and close to the notice
+        first = notice + chance.uniform(-MAX_SIGNAL_GAP_S, MAX_SIGNAL_GAP_S)
+        signals += [Signal(first, "HUP"), Signal(first + chance.uniform(0, MAX_SIGNAL_GAP_S), "HUP")]
     for _ in range(chance.randrange(4)):
         signals.append(Signal(notice + chance.uniform(0, stop), chance.choice(("TERM", "INT", "HUP"))))
     return InstancePlan(
@@ -101,8 +105,8 @@
         stop=round(stop, 3),
         grace=round(chance.uniform(0.1, 0.4) * stop, 3),
         sockets=sockets,
-        steady=steady,
-        crowd=(room - steady) // count if crowded else 0,
+        persistent_clients=persistent_clients,
+        crowd_clients=(client_limit - persistent_clients) // count if has_crowd else 0,
         notice=notice,
         signals=tuple(sorted(signals, key=lambda each: each.at)),
     )
--- a/limeridge/trial/soak_table.py
+++ b/limeridge/trial/soak_table.py
@@ -1,7 +1,7 @@
-"""What many soaks came to: one verdict a soak, what all of them met, and whether that is enough.
+"""The summary of a set of soaks: a verdict for each, event counts over all, and whether these suffice.
 
-A soak that met nothing shows nothing, so a set of them fails below the counts that are stated here. It
-decides on reports alone.
+A soak in which too little happens proves nothing, so a set fails if its counts are below the minimums stated
+here. The only input is the reports.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from collections.abc import Iterator, Sequence
 from typing import Any
 
-LEAST_A_SOAK = {  # in the mean over all soaks of a set
+MIN_MEAN_COUNTS = {  # per soak, averaged over a set
     "requests": 200,
     "requests after the notice": 20,
     "served": 10,
@@ -23,7 +23,7 @@
 
 
 def verdict(report: dict[str, Any]) -> str:
-    """`held`, `broke`, or `machine too busy` where only matters of time are at fault and it was."""
+    """`held`, `broke`, or `machine too busy` if all faults concern timing and the machine was overloaded."""
     faults = report["faults"]
     if any(not each["soft"] for each in faults):
         return "broke"
@@ -32,8 +32,8 @@
     return "held"
 
 
-def met(reports: Sequence[dict[str, Any]]) -> Counter[str]:
-    """What all soaks met, added up."""
+def total_counts(reports: Sequence[dict[str, Any]]) -> Counter[str]:
+    """Event counts, summed over all soaks."""
     total: Counter[str] = Counter()
     for each in reports:
         total.update(each["counts"])
@@ -44,18 +44,18 @@
     return total
 
 
-def too_little(reports: Sequence[dict[str, Any]]) -> list[str]:
-    """What was met too seldom to show anything, a line each."""
-    total = met(reports)
+def insufficient_counts(reports: Sequence[dict[str, Any]]) -> list[str]:
+    """One line for each count that is below its minimum."""
+    total = total_counts(reports)
     return [
-        f"{what}: {total[what]} in {len(reports)} soaks, {least:g} each are the least"
-        for what, least in LEAST_A_SOAK.items()
-        if total[what] < least * len(reports)
+        f"{name}: {total[name]} in {len(reports)} soaks, {minimum:g} each are the minimum"
+        for name, minimum in MIN_MEAN_COUNTS.items()
+        if total[name] < minimum * len(reports)
     ]
 
 
-def lines(reports: Sequence[dict[str, Any]]) -> Iterator[str]:
-    """The table of a set, in Markdown: verdicts, then what was met."""
+def markdown_table(reports: Sequence[dict[str, Any]]) -> Iterator[str]:
+    """The summary of a set as Markdown tables: verdicts, then event counts."""
     verdicts = Counter(verdict(each) for each in reports)
     yield "| soaks | held | broke | machine too busy |"
     yield "| --- | --- | --- | --- |"
@@ -63,7 +63,7 @@
     yield ""
     yield "| met | count |"
     yield "| --- | --- |"
-    for what, count in sorted(met(reports).items()):
-        yield f"| {what} | {count:,} |"
+    for name, count in sorted(total_counts(reports).items()):
+        yield f"| {name} | {count:,} |"
     yield f"| most memory, MB | {max(each['most_memory_mb'] for each in reports):g} |"
     yield f"| most descriptors of one process | {max(each['most_descriptors'] for each in reports)} |"
