--- a/limeridge/sim/bad_callers.py
+++ b/limeridge/sim/bad_callers.py
@@ -156,7 +156,9 @@
 
     def _send_at_close(self, sender: LateSender, event: FarewellSent | LineClosing) -> None:
         """Sends the late request when the instance sends a farewell to its caller or closes the line."""
-        awaited_moment = SendTime.CROSSING_FAREWELL if isinstance(event, FarewellSent) else SendTime.CROSSING_CLOSE
+        awaited_moment = (
+            SendTime.CROSSING_FAREWELL if isinstance(event, FarewellSent) else SendTime.CROSSING_CLOSE
+        )
         if sender.send_time is awaited_moment:
             self.world.rude_reactor.callLater(0, sender.send_late)
         elif sender.send_time is SendTime.BEFORE_CLOSE and isinstance(event, LineClosing):
